--- a/anvilflow/cell/_carrier.py
+++ b/anvilflow/cell/_carrier.py
@@ -97,7 +97,7 @@
         context = self.context
         checks = {
             LEAVING: context.leaving,
-            "not from the home": context.links is None or link is not context.links.home_link,
+            "not from the home": context.links is None or link is not context.links.leader_link,
             "of a former home": order.token < self._token,
             LATE: self.now >= give_up_at,
         }
--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -21,7 +21,7 @@
     version: int
 
 
-class HomeChanged(Struct, kw_only=True):
+class LeaderChanged(Struct, kw_only=True):
     """The cell has another home, as this instance sees it."""
 
 
@@ -36,7 +36,7 @@
         How many homes there were, this one included.
     row_version : int
         Version of the row at present.
-    former : HomeRow or None
+    former : LeaderRow or None
         What the former home said of itself and of its workers.
     """
 
@@ -131,7 +131,7 @@
         self.carrier = None
         self.warm_tables = None
         self.successors = ()
-        self.home = None
+        self.leader = None
         self.config_part = None
 
     @property
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -15,7 +15,7 @@
 from ._config import ConfigPart
 from ._context import CellContext, Leaving
 from ._entry import EntryPart
-from ._home import HomePart
+from ._leader import LeaderPart
 from ._leadership import LeadershipPart
 from ._links import LinksPart
 from ._observer import ObserverPart
@@ -67,7 +67,7 @@
             ("store", StoreWatchPart),
             ("config", ConfigPart),
             ("warm", WarmTablesPart),
-            ("home", HomePart),
+            ("home", LeaderPart),
             ("leadership", LeadershipPart),
             ("entry", EntryPart),
             ("carrier", CarrierPart),
--- a/anvilflow/cell/_entry.py
+++ b/anvilflow/cell/_entry.py
@@ -21,14 +21,14 @@
 from ..platform import FrontResource, ReadyResource
 from ..runtime import Part
 from ..utils import encode
-from ._context import Claimed, HomeChanged
+from ._context import Claimed, LeaderChanged
 from ._job_store import cancel_stored_job, read_stored_job, store_job_surely
 from ._recorder import answer_timeout
 from ._tables import MAX_ROW_BYTES, JobRow, without_payload
 
 #: Wait for the home's answer before the store is asked instead. The home answers in a few
 #: milliseconds or is changing. Unit: seconds.
-HOME_TIMEOUT_S = 0.4
+LEADER_TIMEOUT_S = 0.4
 
 #: Wait for the home to store a job that this instance could not store. Unit: seconds.
 SUBMIT_TIMEOUT_S = 0.9
@@ -106,7 +106,7 @@
         ready.log = lambda request: None
         self._listen(listen.ready, ready)
         self._front_port = self._listen(listen.front, front)
-        self.on(HomeChanged, lambda *_: self._tell_again())
+        self.on(LeaderChanged, lambda *_: self._tell_again())
         # A home reads the rows of all jobs when it begins.
         self.on(Claimed, lambda *_: self._untold.clear())
         self.log.info("listening to clients", address=listen.front)
@@ -188,9 +188,9 @@
                     if entry:
                         self.context.payloads.keep(job_id, spec.payload)
                         value = without_payload(value)
-                    self._tell_home(value, version)
+                    self._notify_leader(value, version)
                 return
-        outcome = yield self._submit_at_home(value)
+        outcome = yield self._submit_at_leader(value)
         self.log.info("job handed to the home", job=job_id, outcome=outcome, unsure=unsure)
         if outcome == "ok":
             return
@@ -240,11 +240,11 @@
         wait = self.context.store_health.bad_for_s * RETRY_AFTER_SHARE
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
-    def _tell_home(self, value, version):
+    def _notify_leader(self, value, version):
         job_id = value.spec.job_id
         self._untold[job_id] = (value, version)
-        done = self.context.links.ask_home(
-            HOME_TIMEOUT_S,
+        done = self.context.links.call_leader(
+            LEADER_TIMEOUT_S,
             verb="accepted",
             job_id=job_id,
             queue=value.queue.name,
@@ -265,16 +265,16 @@
         """
         untold, self._untold = self._untold, {}
         for value, version in untold.values():
-            self._tell_home(value, version)
+            self._notify_leader(value, version)
 
     def _not_told(self, failure, job_id):
         failure.trap(AnvilflowError)
         self.log.info("home not told", job=job_id, error=str(failure.value))
 
     @inlineCallbacks
-    def _submit_at_home(self, value):
+    def _submit_at_leader(self, value):
         """Let the home store a job; return ok, refused (certainly not stored) or unsure."""
-        if self.context.home is not None:
+        if self.context.leader is not None:
             return "refused"
         try:
             reply = yield self._ask(
@@ -286,8 +286,8 @@
             return "unsure"
         return _SUBMIT_OUTCOMES.get(reply.outcome, "unsure")
 
-    def _ask(self, verb, job_id, queue, body=b"", timeout=HOME_TIMEOUT_S):
-        return self.context.links.ask_home(
+    def _ask(self, verb, job_id, queue, body=b"", timeout=LEADER_TIMEOUT_S):
+        return self.context.links.call_leader(
             timeout, verb=verb, job_id=job_id, queue=queue, version=0, body=body
         )
 
@@ -336,8 +336,8 @@
         look like a queue that is not known.
         """
         waiting = self.context.waiting
-        if self.context.home is not None or not waiting.is_known:
-            n_jobs = yield self._pending_at_home(queue)
+        if self.context.leader is not None or not waiting.is_known:
+            n_jobs = yield self._pending_at_leader(queue)
             if n_jobs is not None:
                 return n_jobs
         yield waiting.await_first()
@@ -345,7 +345,7 @@
         return waiting.count(queue.name)
 
     @inlineCallbacks
-    def _pending_at_home(self, queue):
+    def _pending_at_leader(self, queue):
         """Ask the home; return None where that does not tell.
 
         A home of an earlier release does not tell by itself what waits.
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -301,7 +301,7 @@
             carriers=self.carriers,
             context=self.context,
         )
-        session = WorkerSession(clock=self.context.clock, calls=calls, lease_s=LEASE_S, home=self)
+        session = WorkerSession(clock=self.context.clock, calls=calls, lease_s=LEASE_S, fleet=self)
         self._sessions[info.worker_id] = session
         session.run().addErrback(self.events.fail_with)
 
--- a/anvilflow/cell/_home_voice.py
+++ b/anvilflow/cell/_home_voice.py
@@ -16,15 +16,15 @@
     ----------
     context : CellContext
     log : Logger
-    home : object
+    leader : object
         Offers ``measure_load()``, ``term``, ``is_loading``, ``loads_in_vain``, ``is_store_away``,
         ``loaded_at``, ``waiting()`` and ``start_waits()``.
     """
 
-    def __init__(self, *, context, log, home):
+    def __init__(self, *, context, log, leader):
         self.context = context
         self.log = log
-        self.home = home
+        self.leader = leader
         self._counted_at = float("-inf")
 
     def beat(self):
@@ -32,7 +32,7 @@
         config = self.context.config
         links = self.context.links
         return HomeBeat(
-            term=self.home.term,
+            term=self.leader.term,
             config_version=config.version if config is not None else 0,
             yielding=self._yields,
             successors=links.successors if links is not None else [],
@@ -44,9 +44,9 @@
 
     def full_beat(self):
         """Return the same with what waits; kept here as well, for when another is the home."""
-        waiting = self.home.waiting()
+        waiting = self.leader.waiting()
         self.context.waiting.told(waiting)
-        waits = self.home.start_waits()
+        waits = self.leader.start_waits()
         self.context.start_waits.told(waits)
         beat = self.beat()
         beat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
@@ -63,30 +63,30 @@
         if lag.is_short and not was_short:
             self.context.meters.count("short_of_processor")
             self.log.warning("short of processor", lag_s=round(lag.lag_s, 3))
-        self.home.measure_load()
+        self.leader.measure_load()
         self.tell()
 
     def tell(self):
         """Tell all instances that are connected."""
-        is_home = self.context.home is self.home or self.home.is_loading
-        if not is_home or self.context.links is None:
+        is_leader = self.context.leader is self.leader or self.leader.is_loading
+        if not is_leader or self.context.links is None:
             return
         is_due = self.context.clock.seconds() >= self._counted_at + TELL_S
-        beat = self.full_beat() if is_due and not self.home.is_loading else self.beat()
+        beat = self.full_beat() if is_due and not self.leader.is_loading else self.beat()
         for link in self.context.links.peers.values():
             link.send(beat)
 
     @property
     def _yields(self):
         """Whether another instance should take over."""
-        is_away = self.home.is_store_away or self.home.loads_in_vain
+        is_away = self.leader.is_store_away or self.leader.loads_in_vain
         return self.context.leaving or is_away or self._gives_way
 
     @property
     def _gives_way(self):
         """Whether it is short of processor while a much stronger instance is connected."""
         links = self.context.links
-        loaded_at = self.home.loaded_at
+        loaded_at = self.leader.loaded_at
         if loaded_at is None or links is None or not self.context.lag.is_short:
             return False
         if self.context.clock.seconds() - loaded_at < GIVE_WAY_AFTER_S:
--- a/anvilflow/cell/_home.py
+++ b/anvilflow/cell/_leader.py
@@ -20,12 +20,12 @@
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
-from ._home_calls import HomeCalls
-from ._home_state import make_scheduler, read_state, readings_at_once
 from ._home_voice import HomeVoice
 from ._janitor import SWEEP_S, Janitor
 from ._job_intake import JobIntake
 from ._job_store import read_jobs
+from ._leader_calls import LeaderCalls
+from ._leader_state import make_scheduler, read_state, readings_at_once
 from ._load_beat import LoadBeat
 from ._recorder import Recorder
 from ._tables import JOBS
@@ -58,7 +58,7 @@
 _AGAIN_S = 0.3
 
 
-class HomePart(Part):
+class LeaderPart(Part):
     """Exists idle in every instance; after a claim it is the home until it is deposed."""
 
     prefix = "home"
@@ -80,7 +80,7 @@
         self._load_beat = None
         self._janitor = None
         self._intake = None
-        self._voice = HomeVoice(context=context, log=self.log, home=self)
+        self._voice = HomeVoice(context=context, log=self.log, leader=self)
 
     def start(self):
         """Wait for a claim."""
@@ -98,9 +98,9 @@
         A part that is restarted after a fault has forgotten that it was. Said here, this instance
         looks for the home again; else it would wait for itself for ever.
         """
-        was_home = self._claimed is not None
+        was_leader = self._claimed is not None
         self._end()
-        if was_home:
+        if was_leader:
             self.deposed()
         super().stop()
 
@@ -178,12 +178,12 @@
             on_deposed=self.deposed,
             on_confirmed=self._fleet.confirm,
         )
-        self._calls = HomeCalls(
+        self._calls = LeaderCalls(
             context=self.context,
             log=self.log,
             scheduler=scheduler,
             recorder=self._recorder,
-            home=self,
+            leader=self,
         )
         self._recorder.note_progress_rows(row.key for row in state.progress)
         self._intake = JobIntake(
@@ -202,7 +202,7 @@
         self.loaded_at = self.now
         self._load_beat.close()
         self._n_failed_loads = 0
-        self.context.home = self
+        self.context.leader = self
         self.context.meters.timed("load", self.now - claimed_at)
         self.log.info(
             "home begins",
@@ -250,8 +250,8 @@
         self.loaded_at = None
         if self._load_beat is not None:
             self._load_beat.close()
-        if self.context.home is self:
-            self.context.home = None
+        if self.context.leader is self:
+            self.context.leader = None
         for follower in self._followers:
             follower.close()
         self._followers = []
--- a/anvilflow/cell/_home_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -9,7 +9,7 @@
 from ._tables import JobRow
 
 
-class HomeCalls:
+class LeaderCalls:
     """Answers the calls of entries during one term of the home.
 
     Parameters
@@ -18,16 +18,16 @@
     log : Logger
     scheduler : Scheduler
     recorder : Recorder
-    home : object
+    leader : object
         Offers ``add_job(value, version)``, ``act(actions)``, ``changed()`` and ``is_store_away``.
     """
 
-    def __init__(self, *, context, log, scheduler, recorder, home):
+    def __init__(self, *, context, log, scheduler, recorder, leader):
         self.context = context
         self.log = log
         self.scheduler = scheduler
         self.recorder = recorder
-        self.home = home
+        self.leader = leader
         self.closed = False
         self._cancelling = {}
 
@@ -42,7 +42,7 @@
         """Answer a :class:`JobCall`; the Deferred fires with a :class:`JobReply`."""
         match call.verb:
             case "accepted":
-                self.home.add_job(decode(call.body, JobRow), call.version)
+                self.leader.add_job(decode(call.body, JobRow), call.version)
                 return succeed(_reply("ok"))
             case "state":
                 state = self.scheduler.state_of(call.job_id)
@@ -69,15 +69,15 @@
         self.log.info("job cancelled", job=job_id)
         done = Deferred()
         self._cancelling.setdefault(job_id, []).append(done)
-        self.home.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
+        self.leader.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
         self.recorder.hurry()
-        self.home.changed()
+        self.leader.changed()
         return done
 
     @inlineCallbacks
     def _submit(self, call):
         """Store a job for an entry that does not reach the store."""
-        if self.home.is_store_away:
+        if self.leader.is_store_away:
             return _reply("refused")
         value = decode(call.body, JobRow)
         try:
@@ -87,7 +87,7 @@
         except PlatformError:
             return _reply("unsure")
         if version and not self.closed:
-            self.home.add_job(value, version)
+            self.leader.add_job(value, version)
         return _reply("ok")
 
 
--- a/anvilflow/cell/_home_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -74,7 +74,7 @@
     Parameters
     ----------
     store : StoreClient
-    former : HomeRow or None
+    former : LeaderRow or None
         The former home's row; None: there was none.
     config : CellConfig, default=None
         Names the services whose entries count.
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -7,11 +7,11 @@
 from ..peers.gen.ttypes import HomeBeat
 from ..runtime import Part
 from ..utils import decode, jitter
-from ._context import Claimed, Deposed, HomeChanged
-from ._links import DIAL_TIMEOUT_S, HomeLinkLost
+from ._context import Claimed, Deposed, LeaderChanged
+from ._links import DIAL_TIMEOUT_S, LeaderLinkLost
 from ._outcome import Outcome
 from ._strength import is_fit
-from ._tables import HOME, HOME_KEY, PART, HomeRow, condition, write
+from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
 from ._waiting import Waiting
 
 #: Period of looking at the home. Unit: seconds.
@@ -91,7 +91,7 @@
         self.row = None
         self.row_version = 0
         self._newest_version = 0
-        self.is_home = False
+        self.is_leader = False
         self._addresses = ()
         self._yielding = False
         self._heard_at = 0.0
@@ -103,7 +103,7 @@
     def start(self):
         """Look for the home."""
         self.on(HomeBeat, self._beat)
-        self.on(HomeLinkLost, lambda *_: self._look())
+        self.on(LeaderLinkLost, lambda *_: self._look())
         self.on(Deposed, self._deposed)
         self.every(LOOK_S, self._look)
 
@@ -128,8 +128,8 @@
             self.context.config_part.hint(beat.config_version)
 
     def _deposed(self, _, __):
-        if self.is_home:
-            self.is_home = False
+        if self.is_leader:
+            self.is_leader = False
             self._addresses = tuple(self.context.links.successor_addresses)
             self.log.warning("deposed", row_version=self.row_version)
             self._look()
@@ -137,9 +137,9 @@
     # Looking
 
     def _look(self):
-        if self.is_home or self._busy or self.context.leaving:
+        if self.is_leader or self._busy or self.context.leaving:
             return
-        linked = self.context.links is not None and self.context.links.home_link is not None
+        linked = self.context.links is not None and self.context.links.leader_link is not None
         silent = self.now - self._heard_at
         if linked and silent < SILENT_S + self._patience_s and not self._yielding:
             return
@@ -180,27 +180,29 @@
         it refused all jobs after a change of homes, for as long as it was cut off: a client comes
         back a second later, and 18 of 31 late quick jobs of a day had waited for that.
         """
-        asked = [self.context.links.ask_for_home(address) for address in self._addresses]
+        asked = [self.context.links.ask_for_leader(address) for address in self._addresses]
         words = yield gatherResults(asked)
         known_term = self.row.term if self.row is not None else 0
         words = [word for word in words if word is not None]
-        homes = [word for word in words if word.beat.term >= known_term and not word.beat.yielding]
-        home = max(homes, key=lambda word: word.beat.term, default=None)
+        leaders = [
+            word for word in words if word.beat.term >= known_term and not word.beat.yielding
+        ]
+        leader = max(leaders, key=lambda word: word.beat.term, default=None)
         for word in words:
-            if word is not home:
+            if word is not leader:
                 word.link.abort()
-        if home is None or self.is_home:
+        if leader is None or self.is_leader:
             return False
-        self._follow(home.link, home.beat.term)
+        self._follow(leader.link, leader.beat.term)
         return True
 
     def _follow(self, link, term):
         self._dial_s = DIAL_TIMEOUT_S
-        self.context.links.follow_home(link)
+        self.context.links.follow_leader(link)
         self._heard_at = self.now
         self._yielding = False
         self.log.info("home found", home=link.peer.instance, term=term)
-        self.post(HomeChanged())
+        self.post(LeaderChanged())
 
     def _rank(self):
         name = self.context.name
@@ -233,12 +235,12 @@
     def _read_row(self):
         """Read the home's row; return whether another life of an instance holds it now."""
         began = self.now
-        rows, _ = yield self.context.store.read(HOME, PART)
+        rows, _ = yield self.context.store.read(LEADER_TABLE, PART)
         self._read_s = self.now - began
         self.context.store_health.answer_s = self._read_s
         before = self.row.incarnation if self.row is not None else None
-        found = next((row for row in rows if row.key == HOME_KEY), None)
-        self.row = decode(found.value, HomeRow, error=PlatformError) if found else None
+        found = next((row for row in rows if row.key == LEADER_KEY), None)
+        self.row = decode(found.value, LeaderRow, error=PlatformError) if found else None
         self.row_version = found.version if found else 0
         # A home that loads does not write its own row yet, but another one beside it.
         self._newest_version = max((row.version for row in rows), default=0)
@@ -251,7 +253,7 @@
 
     @inlineCallbacks
     def _dial(self):
-        """Connect to the holder; return ``home``, ``not home`` or ``not reached``."""
+        """Connect to the holder; return ``leader``, ``not leader`` or ``not reached``."""
         row = self.row
         if row.incarnation == self.context.incarnation:
             return "not home"
@@ -307,7 +309,7 @@
             before, until = self._newest_version, self.now + wait_s
             if dialling is None:
                 self.log.info("home writes but is not reached", home=self.row.holder)
-                self.context.links.leave_home()
+                self.context.links.leave_leader()
                 yield self._sleep(jitter(self.context.random_state, AGAIN_S))
                 return
 
@@ -330,7 +332,7 @@
             moved = yield self._claim_once(why)
             if moved is None or why != "home yields":
                 return
-            holder = decode(moved.value, HomeRow, error=PlatformError)
+            holder = decode(moved.value, LeaderRow, error=PlatformError)
             if holder.incarnation != self.row.incarnation:
                 yield self._read_row()
                 return
@@ -342,7 +344,7 @@
         if self.context.leaving:
             return None
         former = self.row
-        row = HomeRow(
+        row = LeaderRow(
             holder=self.context.name,
             incarnation=self.context.incarnation,
             address=self.context.settings.listen.peers_address,
@@ -357,15 +359,15 @@
             row.missing = former.missing
             row.nameless = former.nameless
             row.n_loads = former.n_loads + 1
-        conditions = [condition(HOME, HOME_KEY, self.row_version)]
+        conditions = [condition(LEADER_TABLE, LEADER_KEY, self.row_version)]
         try:
             version = yield self.context.store.commit(
                 conditions,
-                [write(HOME, HOME_KEY, row)],
+                [write(LEADER_TABLE, LEADER_KEY, row)],
                 timeout=max(CLAIM_TIMEOUT_S, CLAIM_READS * self._read_s),
             )
         except PreconditionError as exc:
-            found = (row for row in exc.details["rows"] if row.key == HOME_KEY and row.value)
+            found = (row for row in exc.details["rows"] if row.key == LEADER_KEY and row.value)
             moved = next(found, None)
             if moved is None:
                 yield self._read_row()
@@ -379,9 +381,9 @@
                 return None
             version = self.row_version
         self.row, self.row_version = row, version
-        self.is_home = True
+        self.is_leader = True
         self._yielding = False
-        self.context.links.leave_home()
+        self.context.links.leave_leader()
         self.context.meters.count("takeovers", why)
         self.log.info("claimed", why=why, token=version, term=row.term)
         self.post(Claimed(token=version, term=row.term, row_version=version, former=former))
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -55,7 +55,7 @@
     def __init__(self, *, context):
         super().__init__(context=context)
         self.peers = {}
-        self.home_link = None
+        self.leader_link = None
         self._calls = {}
         self._asked = {}
         self._gone = {}
@@ -78,7 +78,7 @@
         """Close all connections."""
         self._stopped = True
         self.context.links = None
-        self.leave_home()
+        self.leave_leader()
         for link in list(self.peers.values()):
             link.abort()
         super().stop()
@@ -100,7 +100,7 @@
     @property
     def reaches_home(self):
         """Whether this instance is the home or is connected to it."""
-        return self.context.home is not None or self.home_link is not None
+        return self.context.leader is not None or self.leader_link is not None
 
     @property
     def n_bytes_out(self):
@@ -113,8 +113,8 @@
         return self._n_bytes_in + sum(link.n_bytes_in for link in self._open_links())
 
     def _open_links(self):
-        home = (self.home_link,) if self.home_link is not None else ()
-        return [*self.peers.values(), *home]
+        leader = (self.leader_link,) if self.leader_link is not None else ()
+        return [*self.peers.values(), *leader]
 
     @property
     def successors(self):
@@ -139,8 +139,8 @@
 
     # To the home
 
-    def ask_for_home(self, address):
-        """Connect to an instance; the Deferred fires with its :class:`HomeWord`, or None.
+    def ask_for_leader(self, address):
+        """Connect to an instance; the Deferred fires with its :class:`LeaderReply`, or None.
 
         None says that it is not the home, or is not reached.
         """
@@ -181,15 +181,15 @@
         link.abort()
         return failure
 
-    def follow_home(self, link):
+    def follow_leader(self, link):
         """Use a link as the one to the home."""
-        if self.home_link is not None and self.home_link is not link:
-            self.home_link.abort()
-        self.home_link = link
+        if self.leader_link is not None and self.leader_link is not link:
+            self.leader_link.abort()
+        self.leader_link = link
 
-    def leave_home(self):
+    def leave_leader(self):
         """Drop the connection to the home."""
-        link, self.home_link = self.home_link, None
+        link, self.leader_link = self.leader_link, None
         if link is not None:
             link.abort()
 
@@ -203,8 +203,8 @@
             return
         self.peers[link.peer.instance] = link
         self._note_start(link.peer)
-        if self.context.home is not None:
-            link.send(self.context.home.beat())
+        if self.context.leader is not None:
+            link.send(self.context.leader.beat())
 
     def _note_start(self, hello):
         """Note whether an instance was started after this one."""
@@ -222,10 +222,10 @@
             if used is link:
                 del self._calls[call]
                 done.errback(PeerSilentError("the connection to the other instance is gone"))
-        if link is self.home_link:
-            self.home_link = None
+        if link is self.leader_link:
+            self.leader_link = None
             if not self._stopped:
-                self.post(HomeLinkLost())
+                self.post(LeaderLinkLost())
         if link.peer is not None and self.peers.get(link.peer.instance) is link:
             del self.peers[link.peer.instance]
             self._gone[link.peer.instance] = (link.peer, self.now)
@@ -247,8 +247,8 @@
             case HomeBeat():
                 asked = self._asked.pop(link, None)
                 if asked is not None:
-                    asked.callback(HomeWord(link=link, beat=body))
-                elif link is self.home_link:
+                    asked.callback(LeaderReply(link=link, beat=body))
+                elif link is self.leader_link:
                     if body.sent_ms is not None and self.context.carrier is not None:
                         self.context.carrier.heard(link, body.sent_ms)
                     self.context.bus.post(body, source=link.peer.instance)
@@ -262,13 +262,13 @@
 
     # Calls
 
-    def ask_home(self, timeout, **values):
+    def call_leader(self, timeout, **values):
         """Make a :class:`JobCall` to the home, which may be this instance."""
-        if self.context.home is not None:
-            return self.context.home.serve(JobCall(call=0, **values))
-        if self.home_link is None:
+        if self.context.leader is not None:
+            return self.context.leader.serve(JobCall(call=0, **values))
+        if self.leader_link is None:
             return fail(NotReadyError("no home is known"))
-        return self._call(self.home_link, JobCall, timeout, values)
+        return self._call(self.leader_link, JobCall, timeout, values)
 
     def ask_advice(self, instance, timeout, **values):
         """Make an :class:`AdviceCall` to an instance that is connected here."""
@@ -303,11 +303,11 @@
         return failure
 
     def _serve_job(self, link, body):
-        home = self.context.home
-        if home is None:
+        leader = self.context.leader
+        if leader is None:
             link.send(JobReply(call=body.call, outcome="not home", count=0))
             return
-        done = home.serve(body)
+        done = leader.serve(body)
         done.addCallback(self._reply_job, link, body.call)
         done.addErrback(self._refuse_job, link, body.call)
 
@@ -336,7 +336,7 @@
         done.addCallback(link.send)
 
 
-class HomeWord:
+class LeaderReply:
     """An instance said that it is the home.
 
     Parameters
@@ -352,7 +352,7 @@
         self.beat = beat
 
 
-class HomeLinkLost:
+class LeaderLinkLost:
     """The connection to the home is gone."""
 
     __slots__ = ()
--- a/anvilflow/cell/_load_beat.py
+++ b/anvilflow/cell/_load_beat.py
@@ -5,7 +5,7 @@
 from ..exceptions import PlatformError, PreconditionError
 from ..utils import Ticker, decode
 from ._recorder import BEAT_S
-from ._tables import HOME, HOME_KEY, LOADING_KEY, HomeRow, condition, write
+from ._tables import LEADER_KEY, LEADER_TABLE, LOADING_KEY, LeaderRow, condition, write
 
 #: Time after which a home that still loads offers its place. 1.7 MB, the rows of all jobs of 140 s
 #: at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
@@ -80,7 +80,8 @@
             return
         row = LoadingRow(incarnation=self.context.incarnation)
         done = self.context.store.commit(
-            [condition(HOME, HOME_KEY, self.claimed.row_version)], [write(HOME, LOADING_KEY, row)]
+            [condition(LEADER_TABLE, LEADER_KEY, self.claimed.row_version)],
+            [write(LEADER_TABLE, LOADING_KEY, row)],
         )
         done.addErrback(self._not_written)
         done.addErrback(self.on_error)
@@ -89,8 +90,8 @@
         failure.trap(PlatformError)
         if self._closed or not failure.check(PreconditionError):
             return
-        rows = [row for row in failure.value.details["rows"] if row.key == HOME_KEY]
-        holder = decode(rows[0].value, HomeRow, error=PlatformError) if rows else None
+        rows = [row for row in failure.value.details["rows"] if row.key == LEADER_KEY]
+        holder = decode(rows[0].value, LeaderRow, error=PlatformError) if rows else None
         if holder is None or holder.incarnation != self.context.incarnation:
             self.close()
             self.on_deposed()
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -9,12 +9,12 @@
 from ._context import StoreHealth
 from ._outcome import Outcome
 from ._tables import (
-    HOME,
-    HOME_KEY,
+    LEADER_KEY,
+    LEADER_TABLE,
     MAX_ROW_BYTES,
     PART,
     PROGRESS,
-    HomeRow,
+    LeaderRow,
     condition,
     ended_write,
     write,
@@ -163,8 +163,8 @@
     @inlineCallbacks
     def _commit(self, jobs):
         snapshot = self._take(jobs)
-        conditions = [condition(HOME, HOME_KEY, self._row_version)]
-        writes = [write(HOME, HOME_KEY, self._make_row())]
+        conditions = [condition(LEADER_TABLE, LEADER_KEY, self._row_version)]
+        writes = [write(LEADER_TABLE, LEADER_KEY, self._make_row())]
         writes += [item for _, _, items in snapshot for item in items]
         yield self._repeat(conditions, writes, snapshot)
 
@@ -192,7 +192,7 @@
         # What this home does not know of the workers yet, the next one must not take for known.
         is_known = is_over or grace_period.is_known
         missing = [] if is_over else sorted(grace_period.missing)
-        return HomeRow(
+        return LeaderRow(
             holder=self.context.name,
             incarnation=self.context.incarnation,
             address=self.context.settings.listen.peers_address,
@@ -229,7 +229,7 @@
             except PreconditionError as exc:
                 self._answered()
                 rows = {(row.table, row.key): row for row in exc.details["rows"]}
-                self._refused(rows.get((HOME, HOME_KEY)), snapshot, unsure)
+                self._refused(rows.get((LEADER_TABLE, LEADER_KEY)), snapshot, unsure)
                 return
             except PlatformError as exc:
                 unsure = unsure or not isinstance(exc, PlatformRefusedError)
@@ -286,7 +286,10 @@
         began = self.context.clock.seconds()
         try:
             row = yield self.context.store.read_row(
-                HOME, PART, HOME_KEY, timeout=max(READ_TIMEOUT_S, self._doubt_s) + self._late_s
+                LEADER_TABLE,
+                PART,
+                LEADER_KEY,
+                timeout=max(READ_TIMEOUT_S, self._doubt_s) + self._late_s,
             )
         except PlatformError:
             self.reach.bad()
@@ -317,18 +320,18 @@
         if not self.stopped:
             self.on_recorded(ended)
 
-    def _refused(self, home, snapshot, unsure):
+    def _refused(self, leader_row, snapshot, unsure):
         """Take the home's row as it is found: the last write did it, or another home."""
         holder = None
-        if home is not None and home.value:
-            holder = decode(home.value, HomeRow, error=PlatformError)
+        if leader_row is not None and leader_row.value:
+            holder = decode(leader_row.value, LeaderRow, error=PlatformError)
         if holder is None or holder.incarnation != self.context.incarnation:
             self.stopped = True
             self.on_deposed()
         elif unsure:
-            self._done(snapshot, home.version)
+            self._done(snapshot, leader_row.version)
         else:
-            self._row_version = home.version
+            self._row_version = leader_row.version
 
     def _writes(self, job):
         job_id = job.job_id
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -35,7 +35,7 @@
     calls : WorkerCalls
     lease_s : float
         Unit: seconds.
-    home : object
+    fleet : object
         Hears of answers and failures: ``worker_reported``, ``worker_failed``, ``worker_gone``,
         ``fenced``, ``start_answered``, ``stop_answered``, ``pace_failed``; of each lease before it
         is sent, ``lease_sent``; of each answer's time, ``call_answered``, and of calls without one,
@@ -48,11 +48,11 @@
         ``limit_s()`` how long answers of all workers are waited for.
     """
 
-    def __init__(self, *, clock, calls, lease_s, home):
+    def __init__(self, *, clock, calls, lease_s, fleet):
         self.clock = clock
         self.calls = calls
         self.lease_s = lease_s
-        self.home = home
+        self.fleet = fleet
         self.worker_clock = None
         self.stopped = False
         self._recorded = None
@@ -80,9 +80,9 @@
             if not answered:
                 # Once at once: an answer that was lost says nothing about the worker.
                 yield deferLater(self.clock, AGAIN_S if failed_before else 0.0, lambda: None)
-            elif not self.home.may_order():
+            elif not self.fleet.may_order():
                 yield deferLater(self.clock, AGAIN_S, lambda: None)
-            elif self.home.has_unseen(self.worker_id):
+            elif self.fleet.has_unseen(self.worker_id):
                 yield self._wait_for_record()
 
     def _wait_for_record(self):
@@ -106,7 +106,7 @@
         waiting.callback(None)
 
     def _has_unseen(self):
-        return self.home.has_unseen(self.worker_id)
+        return self.fleet.has_unseen(self.worker_id)
 
     @inlineCallbacks
     def _hold(self):
@@ -115,13 +115,13 @@
         # A lease that may have been renewed keeps the worker's tasks from starting elsewhere. A
         # worker that does not answer is asked without one, so that the wait for its tasks has an
         # end: renewed with each try, they waited until it came back.
-        asks_only = first or self.home.is_silent(self.worker_id) or not self.home.may_order()
+        asks_only = first or self.fleet.is_silent(self.worker_id) or not self.fleet.may_order()
         until = None if asks_only else self._until(sent)
-        wait_s = 0.0 if asks_only else self.home.hold_wait()
+        wait_s = 0.0 if asks_only else self.fleet.hold_wait()
         try:
             report = yield self._timed(
                 self.calls.hold(
-                    seen=self.home.seen(self.worker_id),
+                    seen=self.fleet.seen(self.worker_id),
                     until_s=until,
                     wait_s=wait_s,
                     timeout=self._limit_s(self.calls.timeout),
@@ -135,7 +135,7 @@
             return False
         received = self.clock.seconds()
         self.worker_clock = LeaseClock(worker_time=report.clock_s, sent=sent, received=received)
-        self.home.worker_reported(self.worker_id, report, sent)
+        self.fleet.worker_reported(self.worker_id, report, sent)
         return True
 
     def _timed(self, call, *, held_s=0.0):
@@ -148,22 +148,22 @@
         # One that came before its time was woken by an end: when that was is not known.
         if round_trip_s >= 0:
             self._round_trip.answered(round_trip_s)
-            self.home.call_answered(round_trip_s)
+            self.fleet.call_answered(round_trip_s)
         return answer
 
     def _unanswered(self, failure):
         # One worker without an answer may be dark, and is asked again as soon as before: only what
         # all of them do tells of the link.
         if failure.check(WorkerUnreachableError):
-            self.home.call_unanswered()
+            self.fleet.call_unanswered()
         return failure
 
     def _limit_s(self, least_s):
         """Return how long an answer is waited for: longer while answers take longer."""
-        return max(least_s, self._round_trip.limit_s(), self.home.limit_s())
+        return max(least_s, self._round_trip.limit_s(), self.fleet.limit_s())
 
     def _until(self, now):
-        self.home.lease_sent(self.worker_id, now)
+        self.fleet.lease_sent(self.worker_id, now)
         return self.worker_clock.until(now, self.lease_s)
 
     def _failed(self, exc):
@@ -172,12 +172,12 @@
         match exc:
             case WorkerGoneError():
                 self.close()
-                self.home.worker_gone(self.worker_id)
+                self.fleet.worker_gone(self.worker_id)
             case WorkerRefusedError(details={"reason": "fenced"}):
                 self.close()
-                self.home.fenced(self.worker_id)
+                self.fleet.fenced(self.worker_id)
             case _:
-                self.home.worker_failed(self.worker_id, exc)
+                self.fleet.worker_failed(self.worker_id, exc)
 
     # Orders
 
@@ -185,8 +185,8 @@
     def start(self, action):
         """Start a run and tell the home how the worker answered."""
         if self.stopped or self.worker_clock is None:
-            self.home.start_over(action)
-            self.home.start_answered(action, "unreached")
+            self.fleet.start_over(action)
+            self.fleet.start_answered(action, "unreached")
             return
         try:
             outcome = yield from self._start_surely(action)
@@ -194,35 +194,35 @@
             self._failed(exc)
             return
         finally:
-            self.home.start_over(action)
+            self.fleet.start_over(action)
         if self.stopped:
             return
         if outcome == "fenced":
             self.close()
-            self.home.fenced(self.worker_id)
+            self.fleet.fenced(self.worker_id)
             return
-        self.home.start_answered(action, outcome)
+        self.fleet.start_answered(action, outcome)
 
     def _start_surely(self, action):
         """Send a start, again while it has no answer; return how the worker answered."""
         outcome = "unknown"
         for number, least_s in enumerate(START_TIMEOUTS_S):
-            if number > 0 and not self.home.may_retry():
+            if number > 0 and not self.fleet.may_retry():
                 break
             outcome = yield self._start_once(action, self._limit_s(least_s))
             if number > 0:
                 outcome = outcome_after_silence(outcome)
-            if outcome != "unknown" or self.stopped or self.home.is_silent(self.worker_id):
+            if outcome != "unknown" or self.stopped or self.fleet.is_silent(self.worker_id):
                 break
             # One that is late tells nothing of the link any more, and must not keep others waiting.
-            self.home.start_over(action)
+            self.fleet.start_over(action)
             # A try after the run's stop, which may have gone astray, would begin the task anew.
-            if not self.home.is_wanted(action):
+            if not self.fleet.is_wanted(action):
                 break
         return outcome
 
     def _start_once(self, action, timeout):
-        if not self.home.may_order():
+        if not self.fleet.may_order():
             return succeed("unreached")
         until = self._until(self.clock.seconds())
         call = self._timed(self.calls.start(action, until_s=until, timeout=timeout))
@@ -247,7 +247,7 @@
                 pause_s = min(MAX_AGAIN_S, 2 * pause_s)
                 continue
             if not self.stopped:
-                self.home.stop_answered(action)
+                self.fleet.stop_answered(action)
             return
 
     @inlineCallbacks
@@ -258,7 +258,7 @@
                 self.calls.set_pace(action, timeout=self._limit_s(self.calls.timeout))
             )
         except (WorkerRefusedError, WorkerUnreachableError) as exc:
-            self.home.pace_failed(action, exc)
+            self.fleet.pace_failed(action, exc)
 
 
 def _start_outcome(failure):
--- a/anvilflow/cell/_store_watch.py
+++ b/anvilflow/cell/_store_watch.py
@@ -2,7 +2,7 @@
 
 from ..exceptions import PlatformError
 from ..runtime import Part
-from ._tables import HOME, HOME_KEY, PART
+from ._tables import LEADER_KEY, LEADER_TABLE, PART
 
 #: Period of the readings while the store is in doubt. Jobs are refused for this long after an
 #: outage, and half of it on average. Forty instances make 270 readings a second with it, a
@@ -33,7 +33,7 @@
             self._probe()
 
     def _probe(self):
-        done = self.context.store.read_row(HOME, PART, HOME_KEY, timeout=PROBE_TIMEOUT_S)
+        done = self.context.store.read_row(LEADER_TABLE, PART, LEADER_KEY, timeout=PROBE_TIMEOUT_S)
         done.addCallbacks(self._answered, self._unanswered)
         done.addErrback(self.fail_with)
 
--- a/anvilflow/cell/_tables.py
+++ b/anvilflow/cell/_tables.py
@@ -25,14 +25,14 @@
 MAX_ROW_BYTES = 65_536
 
 #: The row of the home, and the key it lies under.
-HOME = "home"
-HOME_KEY = "home"
+LEADER_TABLE = "home"
+LEADER_KEY = "home"
 
 #: Key, in the same table, of what a home writes while it loads.
 LOADING_KEY = "loading"
 
 
-class HomeRow(Struct, kw_only=True):
+class LeaderRow(Struct, kw_only=True):
     """Who is the home; written anew with each of its transactions, which fences them all.
 
     `handover` names what runs on workers that the next home cannot ask, or would not know of.
--- a/anvilflow/cell/_warm_tables.py
+++ b/anvilflow/cell/_warm_tables.py
@@ -5,8 +5,8 @@
 from ..exceptions import PlatformError, RevisionGoneError
 from ..platform import REGISTRY_TABLE
 from ..runtime import Part
-from ._home_state import StoredState, find_missing, gather, readings_at_once
 from ._job_store import read_jobs
+from ._leader_state import StoredState, find_missing, gather, readings_at_once
 from ._registry import names_worker
 from ._strength import is_fit
 from ._tables import ENDED, JOBS, PART, PROGRESS
@@ -93,7 +93,7 @@
 
     def _is_wanted(self):
         context = self.context
-        if self._has_room() or context.home is not None:
+        if self._has_room() or context.leader is not None:
             return False
         return context.name in context.successors[:N_WARM]
 
@@ -151,7 +151,7 @@
 
         Parameters
         ----------
-        former : HomeRow or None
+        former : LeaderRow or None
         config : CellConfig or None
             As in :func:`read_state`.
         """
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -52,12 +52,12 @@
     cell = make_cell(n_instances=4)
     cell.store.put("op", "config", _ADDED)
     cell.advance(2.5)
-    home = cell.home()
+    leader = cell.leader()
     if loss == "killed":
-        cell.kill(home)
+        cell.kill(leader)
     else:
-        cell.pause(home)
-        del cell.daemons[home]
+        cell.pause(leader)
+        del cell.daemons[leader]
     statuses = _ask_all(cell, "/new/", 3.0)
     assert set.union(*statuses.values()) == {200}
 
@@ -65,7 +65,7 @@
 def _without_successor(monkeypatch, cell):
     """Kill the home, and let nobody claim its place."""
     monkeypatch.setattr(LeadershipPart, "_claim", lambda self, why: succeed(None))
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
 
 
 def _n_waiting(cell, name):
@@ -148,7 +148,7 @@
     """The store is away, and no instance has heard a home since its start."""
     cell = make_cell(n_instances=3)
     name = cell.other()
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.kill(name)
     cell.start_instance(name)
     cell.advance(0.02)
--- a/anvilflow/cell/tests/test_cancel_marks.py
+++ b/anvilflow/cell/tests/test_cancel_marks.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import inlineCallbacks
 
-from anvilflow.cell import _entry, _home
+from anvilflow.cell import _entry, _leader
 from anvilflow.cell._job_store import read_stored_job
 from anvilflow.cell._tables import CANCEL_MARK, JOBS, job_part
 from anvilflow.jobs import ENDED_STATES, JobState
@@ -19,12 +19,12 @@
     second; before that the last task ends, and the home records that the job is completed. A mark
     is a wish: what the job has ended as is in the record of its end, and in no other row.
     """
-    monkeypatch.setattr(_home, "JOBS_FEED_S", 4.0)
+    monkeypatch.setattr(_leader, "JOBS_FEED_S", 4.0)
     if not safeguard:
         monkeypatch.setattr(_entry, "read_stored_job", _mark_as_end)
     cell = make_cell()
     name = cell.other()
-    cell.submit(cell.home(), JOB, STEP, spec="2.0 done 1000")
+    cell.submit(cell.leader(), JOB, STEP, spec="2.0 done 1000")
     cell.advance(0.2)
     cell.isolate(name)
     cell.advance(0.6)
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -46,7 +46,7 @@
         yield self.calls.stop(action)
     except (WorkerRefusedError, WorkerUnreachableError):
         return
-    self.home.stop_answered(action)
+    self.fleet.stop_answered(action)
 
 
 # The starter lives
@@ -233,7 +233,7 @@
     _replace_home(cell)
     acked_at = cancel(cell, name)
     cell.advance(6.0)
-    assert cell.home() in cell.homes()
+    assert cell.leader() in cell.leaders()
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
@@ -249,7 +249,7 @@
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
-    former, name = cell.home(), cell.other()
+    former, name = cell.leader(), cell.other()
     cell.store_faults.late_s = 20.0
     cell.store_faults.only = {former}
     _late_stops(cell, 1)
@@ -308,7 +308,7 @@
     acked_at = cancel(cell, cell.other())
     cell.store.remove("servers", "i-0")
     cell.advance(5.0)
-    assert not cell.daemons[cell.home()].supervisor.part("home")._fleet._sessions
+    assert not cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions
     cell.worker_faults["i-0"].clear()
     cell.store.put("servers", "i-0", worker.entry())
     cell.advance(10.0)
@@ -350,7 +350,7 @@
     if not safeguard:
         monkeypatch.setattr(_run_book, "UNKNOWN_JOB_S", float("inf"))
     cell = make_cell(n_instances=3, n_workers=2)
-    fleet = cell.daemons[cell.home()].supervisor.part("home")._fleet
+    fleet = cell.daemons[cell.leader()].supervisor.part("home")._fleet
     start = StartRun(
         worker_id="i-0", task=f"{JOB}.0.0.0", run_id=1, payload=LASTING, checkpoint="", ticket=""
     )
@@ -378,7 +378,7 @@
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
     cell = make_cell(n_instances=3, n_workers=2)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
     _late_stops(cell, 4)
@@ -387,11 +387,11 @@
     cell.advance(3.0)
     cell.resume(former)
     cell.advance(3.0)
-    assert cell.homes() == [cell.home()] != [former]
+    assert cell.leaders() == [cell.leader()] != [former]
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
 def _replace_home(cell):
     """Remove the home for good, and start an instance that was not there before."""
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.start_instance(f"b{len(cell.clocks)}")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -64,11 +64,11 @@
     if not safeguard:
         monkeypatch.setattr(Carriers, "are_used", False)
     cell = _make_cell()
-    before = _n_calls_to_workers(cell, cell.home())
+    before = _n_calls_to_workers(cell, cell.leader())
     _entry_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
-    assert (_n_calls_to_workers(cell, cell.home()) == before) is safeguard
+    assert (_n_calls_to_workers(cell, cell.leader()) == before) is safeguard
 
 
 def test_home_with_room_sends_its_starts_and_jobs_have_one_row():
@@ -77,7 +77,9 @@
     _entry_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
-    assert not any(_n_calls_to_workers(cell, name) for name in cell.daemons if name != cell.home())
+    assert not any(
+        _n_calls_to_workers(cell, name) for name in cell.daemons if name != cell.leader()
+    )
     assert cell.store.value("jobs", JOB, part=job_part(JOB))["spec"]["payload"]
     assert cell.store.value("payloads", JOB, part=job_part(JOB)) is None
 
@@ -86,7 +88,7 @@
 def test_link_that_is_in_use_has_orders_carried(bytes_per_s):
     """A home on a wide link, too, once the share in use says that a burst would fill it."""
     cell = make_cell(n_instances=5, n_workers=6)
-    context = cell.daemons[cell.home()].context
+    context = cell.daemons[cell.leader()].context
     context.settings.link_mbps = HOME_LINK_MBPS
     context.link_use = LinkUse(
         settings=lambda: context.settings, count=lambda: (0, bytes_per_s * cell.clock.seconds())
@@ -114,7 +116,7 @@
     """Starts that it was told of are not lost, and none runs twice."""
     cell = _make_cell(n_workers=3)
     entry = _entry_with_payload(cell, STEP, spec="0.6 done 1000")
-    home = cell.home()
+    leader = cell.leader()
     match fault:
         case "kill":
             cell.kill(entry)
@@ -122,9 +124,9 @@
             cell.pause(entry)
             cell.clock.callLater(2.0, cell.resume, entry)
         case "cut from":
-            cell.network.silence(entry, home)
+            cell.network.silence(entry, leader)
         case "cut to":
-            cell.network.silence(home, entry)
+            cell.network.silence(leader, entry)
         case "restart":
             cell.kill(entry)
             cell.start_instance(entry)
@@ -150,9 +152,9 @@
     entry = cell.other()
     cell.submit(entry, JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.04)
-    home = cell.home()
+    leader = cell.leader()
     cell.kill(entry)
-    cell.kill(home)
+    cell.kill(leader)
     cell.advance(9.0)
     assert _done(cell) == _names(2)
     assert cell.check() == []
@@ -166,8 +168,8 @@
     cell = _make_cell(n_workers=1)
     carrier = cell.other()
     cell.pause(carrier)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
-    link = cell.daemons[cell.home()].context.links.peers[carrier]
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
+    link = cell.daemons[cell.leader()].context.links.peers[carrier]
     link.send(_order(cell, sent_ms=round(1000 * cell.clock.seconds())))
     cell.advance(1.0)
     cell.resume(carrier)
@@ -176,12 +178,12 @@
 
 
 def _order(cell, **values):
-    home = cell.daemons[cell.home()]
+    leader = cell.daemons[cell.leader()]
     worker = cell.workers["i-0"]
     fields = {
         "call": 10_000_000,
         "verb": Verb.START,
-        "token": home.supervisor.part("home")._claimed.token,
+        "token": leader.supervisor.part("home")._claimed.token,
         "worker": "i-0",
         "address": worker.address,
         "limit_ms": 400,
@@ -205,7 +207,7 @@
         context.carrier._token = 0
         monkeypatch.setattr(cell.workers["i-0"], "token", 0)
     order = _order(cell, token=1)
-    context.carrier.serve(context.links.home_link, order)
+    context.carrier.serve(context.links.leader_link, order)
     cell.advance(0.1)
     assert (not cell.runs_of(order.task)) is safeguard
 
@@ -216,7 +218,7 @@
     carrier = cell.other()
     context = cell.daemons[carrier].context
     context.payloads.keep(JOB, "0.3 done 1000")
-    other = cell.daemons[cell.home()].context.links.peers[carrier]
+    other = cell.daemons[cell.leader()].context.links.peers[carrier]
     context.carrier.serve(other, _order(cell))
     cell.advance(0.1)
     assert not cell.runs_of(f"{JOB}.9.9.9")
@@ -229,7 +231,7 @@
     context = cell.daemons[cell.other()].context
     order = _order(cell, **values)
     assert find_flaw(order)
-    context.carrier.serve(context.links.home_link, order)
+    context.carrier.serve(context.links.leader_link, order)
     assert context.meters.counts["malformed_messages", ()] == 1
 
 
@@ -248,7 +250,7 @@
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
     for _ in range(2):
-        context.carrier.serve(context.links.home_link, _order(cell))
+        context.carrier.serve(context.links.leader_link, _order(cell))
     cell.advance(0.1)
     assert len(cell.runs_of(f"{JOB}.9.9.9")) == 1
 
@@ -257,7 +259,7 @@
     """The carrier acts and its answers do not reach the home."""
     cell = _make_cell(n_workers=3)
     entry = _entry_with_payload(cell, spec="0.6 done 1000")
-    cell.network.silence(entry, cell.home())
+    cell.network.silence(entry, cell.leader())
     cell.advance(9.0)
     assert _done(cell) == _names()
     assert cell.check() == []
@@ -276,8 +278,8 @@
     cell.advance(4.0)
     assert {span.task for span in cell.spans if span.task.startswith(JOB)} == _names()
     assert {f"{other}.0.0.{index}" for index in range(4)} <= _done(cell)
-    home = cell.daemons[cell.home()].supervisor.part("home")
-    assert home.dump()["jobs_without_payload"] == [JOB]
+    leader = cell.daemons[cell.leader()].supervisor.part("home")
+    assert leader.dump()["jobs_without_payload"] == [JOB]
 
 
 def test_store_that_is_silent_does_not_stop_carriers_that_have_the_payload():
@@ -301,14 +303,14 @@
         monkeypatch.setattr(RoutedCalls, "_answered", _believe_carrier)
     cell = _make_cell(n_workers=8)
     for number in range(12):
-        cell.submit(cell.home(), f"{number:016x}", STEP, spec="6.0 done 1000")
+        cell.submit(cell.leader(), f"{number:016x}", STEP, spec="6.0 done 1000")
     cell.advance(1.0)
     for faults in cell.worker_faults.values():
         faults.silent = True
         faults.only = {cell.other()}
     cell.advance(9.0)
-    home = cell.daemons[cell.home()].supervisor.part("home")._scheduler
-    is_well = not any(worker.silent for worker in home.workers.values())
+    leader = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
+    is_well = not any(worker.silent for worker in leader.workers.values())
     is_well = is_well and not [span for span in cell.spans if span.how in ("lapsed", "stopped")]
     assert is_well is safeguard
 
@@ -367,7 +369,7 @@
     cell = _make_cell()
     entry = _entry_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
-    routes = cell.daemons[cell.home()].context.meters.counts
+    routes = cell.daemons[cell.leader()].context.meters.counts
     assert routes["routes", ("START", "carried")] == 4
     carried = cell.daemons[entry].context.meters.counts
     assert carried["carried", (Verb.START.name, OrderOutcome.DONE.name)] == 4
--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -46,7 +46,7 @@
 def _slow_cell(n_instances=4):
     cell = make_cell(n_instances=n_instances)
     for name in cell.daemons:
-        if name != cell.home():
+        if name != cell.leader():
             cell.wire.slow_link(name, SLOW)
     return cell
 
@@ -143,8 +143,8 @@
     moved = cell.workers["i-3"]
     cell.store.put("servers", "i-3", {**moved.entry(), "service": "annex"})
     cell.advance(0.5)
-    home = cell.daemons[cell.home()].supervisor.part("config")
-    monkeypatch.setattr(home, "_take_rows", lambda rows, source: None)
+    leader = cell.daemons[cell.leader()].supervisor.part("config")
+    monkeypatch.setattr(leader, "_take_rows", lambda rows, source: None)
     queues = [{"name": "urgent", "prefix": "/urgent/", "service": "annex"}]
     cell.store.put("op", "config", make_platform_config(5, queues=queues))
     cell.advance(0.5)
@@ -234,8 +234,8 @@
 def test_configuration_that_is_not_understood_is_not_read_with_each_beat_of_the_home():
     """The home, of a newer release, has understood it, and says so five times a second."""
     cell = make_cell(n_instances=3)
-    name, home = cell.other(), cell.home()
-    cell.daemons[home].context.config = decode_config(encode(make_platform_config(7)))
+    name, leader = cell.other(), cell.leader()
+    cell.daemons[leader].context.config = decode_config(encode(make_platform_config(7)))
     cell.store.put("op", "config", _MALFORMED)
     cell.advance(1.0)
     before = cell.daemons[name].context.store.n_reads
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -3,7 +3,7 @@
 import pytest
 from msgspec import Struct
 
-from anvilflow.cell._home import DEFERRED_S
+from anvilflow.cell._leader import DEFERRED_S
 from anvilflow.cell._start_waits import MAX_AGE_S, StartWaits
 
 from ._helpers import JOB, make_cell
@@ -45,7 +45,7 @@
 
 def _submit_for(cell, seconds, rate, submitted):
     """Submit jobs at a rate; note them by their ids."""
-    entries = [name for name in cell.daemons if name != cell.home()]
+    entries = [name for name in cell.daemons if name != cell.leader()]
     step = {"count": N_TASKS, "cpu": 500, "estimate-ms": 800}
     for _ in range(round(seconds * rate)):
         number = len(submitted)
@@ -115,10 +115,10 @@
     step = {"count": 1, "cpu": 500, "estimate-ms": 100}
     cell.submit(cell.other(), JOB, step, spec="0.1 done 500")
     cell.advance(0.5)
-    daemon = cell.daemons[cell.home()]
+    daemon = cell.daemons[cell.leader()]
     daemon.context.start_waits.told({0: 60.0})
-    again = cell.submit(cell.home(), JOB, step, spec="0.1 done 500")
-    new = cell.submit(cell.home(), f"{1:016x}", step, spec="0.1 done 500")
+    again = cell.submit(cell.leader(), JOB, step, spec="0.1 done 500")
+    new = cell.submit(cell.leader(), f"{1:016x}", step, spec="0.1 done 500")
     cell.advance(0.1)
     assert again[0][0] == 200
     assert new[0][0] == 503
--- a/anvilflow/cell/tests/test_crashing_tasks.py
+++ b/anvilflow/cell/tests/test_crashing_tasks.py
@@ -95,9 +95,9 @@
             kill_at = now + kill_delay_s
         if kill_at is not None and now >= kill_at:
             kill_at = None
-            home = cell.home()
-            cell.kill(home)
-            cell.clock.callLater(1.0, cell.start_instance, home)
+            leader = cell.leader()
+            cell.kill(leader)
+            cell.clock.callLater(1.0, cell.start_instance, leader)
     cell.advance(3.0)
     assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER
     assert cell.state(next(iter(cell.daemons)), JOB) == "failed"
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -80,10 +80,10 @@
     for number in range(40):
         cell.submit("a0", f"{number:016x}", *_chain(20))
     cell.advance(0.6)
-    former = cell.home()
+    former = cell.leader()
     cell.daemons[former].drain()
     cell.advance(0.6)
-    assert (cell.home() != former) is safeguard
+    assert (cell.leader() != former) is safeguard
 
 
 def _chain(n_steps):
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -128,10 +128,10 @@
         return next((worker for worker in alive if worker.address == address), None)
 
     def _remove_home(self, _):
-        home = self.cell.home()
-        if home in self.cell.daemons:
-            self.cell.kill(home)
-            self.cell.clock.callLater(1.0, self.cell.start_instance, home)
+        leader = self.cell.leader()
+        if leader in self.cell.daemons:
+            self.cell.kill(leader)
+            self.cell.clock.callLater(1.0, self.cell.start_instance, leader)
 
     def _set_capacity(self, address):
         worker = self._worker_at(address)
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -106,8 +106,8 @@
         self.calls[job_id] = (self.cell.clock.seconds(), answers)
 
     def _remove_home(self, _):
-        if self.cell.home() in self.cell.daemons:
-            self.cell.kill(self.cell.home())
+        if self.cell.leader() in self.cell.daemons:
+            self.cell.kill(self.cell.leader())
 
     def _darken(self, worker_id):
         self.cell.worker_faults[worker_id].silent = True
@@ -141,7 +141,7 @@
 
     def _take_store_away(self, how):
         faults = self.cell.store_faults
-        faults.only = {self.cell.home()}
+        faults.only = {self.cell.leader()}
         faults.status = 503 if how == "refused" else None
         faults.silent = how == "silent"
         faults.refuses = how == "reset"
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -9,9 +9,9 @@
 from anvilflow.cell import (
     _entry,
     _fleet,
-    _home,
-    _home_calls,
     _job_store,
+    _leader,
+    _leader_calls,
     _leadership,
     _recorder,
     _session,
@@ -37,7 +37,7 @@
         cell.submit("a0", JOB, {"count": 8, "cpu": 1000}, spec="4.0 done 1000")
         cell.advance(0.5)
         killed_at = cell.clock.seconds()
-        cell.kill(cell.home())
+        cell.kill(cell.leader())
         cell.submit(next(iter(cell.daemons)), "00000000000000a2", STEP)
         cell.advance(8.0)
         delays.append(min(new_starts_after(cell, killed_at)))
@@ -53,7 +53,7 @@
     cell = make_cell(n_instances=4)
     cell.submit("a1", JOB, STEP, spec="6.0 done 1000")
     cell.advance(0.5)
-    cell.power_off(cell.home())
+    cell.power_off(cell.leader())
     cell.advance(9.0)
     assert {span.how for span in cell.spans} == {"done"}
     assert cell.check() == []
@@ -66,17 +66,17 @@
     Its row has moved on and the workers have seen a higher token, so it ends at its first write.
     """
     cell = make_cell(n_instances=4, n_workers=2, cpu=4000)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, {"count": 40, "cpu": 1000}, spec="1.3 done 1000")
     cell.advance(0.4)
     cell.pause(former)
     cell.advance(4.0)
     cell.resume(former)
     cell.advance(10.0)
-    assert cell.home() != former
-    assert cell.homes() == [cell.home()]
+    assert cell.leader() != former
+    assert cell.leaders() == [cell.leader()]
     assert cell.check() == []
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -94,7 +94,7 @@
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.advance(1.2)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(0.5)
     cell.store_faults.clear()
     cell.advance(8.0)
@@ -118,7 +118,7 @@
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.advance(1.0)
-    shown = cell.state(cell.home(), JOB)
+    shown = cell.state(cell.leader(), JOB)
     assert shown == ("running" if safeguard else "completed")
 
 
@@ -165,10 +165,10 @@
     cell.store_faults.silent = True
     cell.advance(6.0)
     assert [span.how for span in cell.spans] == ["done"] * 8
-    assert cell.state(cell.home(), JOB) == "running"
+    assert cell.state(cell.leader(), JOB) == "running"
     cell.store_faults.clear()
     cell.advance(3.0)
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
@@ -180,30 +180,30 @@
     cell = make_cell(n_instances=4)
     cell.submit(cell.other(), JOB, STEP, {**STEP, "after": [0]}, spec="1.0 done 1000")
     cell.advance(0.5)
-    former = cell.home()
+    former = cell.leader()
     cell.store_faults.late_s = 3.0
     cell.store_faults.only = {former}
     cell.advance(1.5)
     cell.kill(former)
     cell.advance(10.0)
     cell.store_faults.clear()
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
 def test_home_that_alone_is_refused_by_the_store_hands_over():
     """The store serves all but the home: the home says so, and another claims."""
     cell = make_cell(n_instances=4)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec="4.0 done 1000")
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.store_faults.only = {former}
     cell.advance(4.0)
-    assert cell.home() != former
-    assert cell.homes() == [cell.home()]
+    assert cell.leader() != former
+    assert cell.leaders() == [cell.leader()]
     cell.advance(3.0)
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
@@ -222,11 +222,11 @@
 def test_isolated_instance_leaves_a_living_home_alone():
     """An instance is cut off from all others but reaches the store: it must not take turns."""
     cell = make_cell(n_instances=4)
-    home, name = cell.home(), cell.other()
+    leader, name = cell.leader(), cell.other()
     token = cell.workers["i-0"].token
     cell.isolate(name)
     cell.advance(6.0)
-    assert cell.home() == home
+    assert cell.leader() == leader
     assert cell.workers["i-0"].token == token
     answers = cell.submit(name, JOB, STEP)
     cell.advance(4.0)
@@ -238,7 +238,7 @@
     """The mark is durable, so the 2xx is true; the home finds it and stops the tasks."""
     cell = make_cell(n_instances=3)
     name = cell.other()
-    cell.submit(cell.home(), JOB, STEP, spec="30.0 done 1000")
+    cell.submit(cell.leader(), JOB, STEP, spec="30.0 done 1000")
     cell.advance(0.5)
     cell.isolate(name)
     cell.advance(0.5)
@@ -284,18 +284,18 @@
     cell.advance(10.0)
     assert cell.state(names[0], JOB) == "completed"
     assert cell.check() == []
-    assert len(cell.homes()) == 1
+    assert len(cell.leaders()) == 1
 
 
 def test_drain_hands_the_home_over_and_cuts_nothing_off():
     """SIGTERM at the home: another takes over at once, calls are answered until the end."""
     cell = make_cell(n_instances=3)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(former, JOB, STEP, spec="5.0 done 1000")
     cell.advance(0.2)
     cell.daemons[former].drain()
     cell.advance(0.5)
-    assert cell.home() != former
+    assert cell.leader() != former
     answers = cell.call(former, "GET", f"/urgent/{JOB}")
     cell.advance(0.3)
     status, value, headers = answers[0]
@@ -338,9 +338,9 @@
         monkeypatch.setattr(Scheduler, "_adopt_strays", lambda self, job, now: None)
         monkeypatch.setattr(Scheduler, "may_start", lambda self, job, now: True)
     cell = make_cell(n_instances=3, n_workers=3)
-    scheduler = cell.daemons[cell.home()].supervisor.part("home")._scheduler
+    scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     worker = cell.workers["i-0"]
-    calls = cell.daemons[cell.home()].supervisor.part("home")._fleet._sessions["i-0"].calls
+    calls = cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions["i-0"].calls
     start = StartRun(
         worker_id="i-0",
         task=f"{JOB}.0.0.0",
@@ -392,7 +392,7 @@
     leadership holds that this instance is the home, and its clients are never served again.
     """
     if not safeguard:
-        monkeypatch.setattr(_home.HomePart, "deposed", lambda self: None)
+        monkeypatch.setattr(_leader.LeaderPart, "deposed", lambda self: None)
     cell = make_cell(n_instances=1)
     part = cell.daemons["a0"].supervisor.part("home")
     part.fail_with(Failure(RuntimeError("a fault of ours")))
@@ -410,7 +410,7 @@
     cell.store_faults.status = 503
     cell.store_faults.only = {name}
     monkeypatch.setattr(
-        _home_calls, "store_job", lambda store, value: fail(RuntimeError("a fault"))
+        _leader_calls, "store_job", lambda store, value: fail(RuntimeError("a fault"))
     )
     answers = cell.submit(name, JOB, STEP)
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _fleet, _home_state, _leadership, _recorder
+from anvilflow.cell import _fleet, _leader_state, _leadership, _recorder
 from anvilflow.jobs import Scheduler, Worker, WorkerInfo, _handover
 from anvilflow.utils import encode
 
@@ -26,7 +26,7 @@
     cell.advance(1.0)
     cell.store.remove("servers", cell.spans[0].worker)
     cell.advance(1.0)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(5.0)
     assert (cell.check() == []) is safeguard
 
@@ -45,7 +45,7 @@
     cell.advance(1.0)
     cell.submit("a0", JOB, STEP, {**STEP, "after": [0]}, spec="1.5 done 1000")
     cell.advance(1.2)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     killed_at = cell.clock.seconds()
     cell.advance(6.0)
     second = [span.began_at - killed_at for span in cell.spans if span.task.split(".")[2] == "1"]
@@ -68,7 +68,7 @@
     cell.advance(1.0)
     cell.worker_faults[cell.spans[0].worker].silent = True
     cell.advance(1.6)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(8.0)
     assert (cell.check() == []) is safeguard
     assert len(cell.spans) == 3
@@ -101,7 +101,7 @@
     cell.advance(1.0)
     assert bool(cell.spans) is not safeguard
     cell.worker_faults["i-0"].silent = True
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.store_faults.clear()
     cell.store.put("servers", "i-1", cell.workers["i-1"].entry())
     cell.advance(1.5)
@@ -124,7 +124,7 @@
     second time.
     """
     if not safeguard:
-        monkeypatch.setattr(_home_state, "find_missing", lambda *args: succeed(frozenset()))
+        monkeypatch.setattr(_leader_state, "find_missing", lambda *args: succeed(frozenset()))
     cell = make_cell(n_instances=3, n_workers=4)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="20.0 done 9000")
     cell.advance(1.0)
@@ -133,7 +133,7 @@
     cell.advance(1.0)
     for worker_id in hidden:
         cell.store.remove("servers", worker_id)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(1.0)
     cell.store_faults.clear()
     cell.advance(2.0)
@@ -155,7 +155,7 @@
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 5000}, spec="30.0 done 5000")
     cell.advance(1.0)
-    former, others = cell.home(), {name for name in cell.daemons if name != cell.home()}
+    former, others = cell.leader(), {name for name in cell.daemons if name != cell.leader()}
     cell.isolate(former)
     cell.store_faults.silent = True
     cell.store_faults.only = {former}
@@ -163,7 +163,7 @@
         faults.silent = True
         faults.only = others if worker_id == cell.spans[0].worker else {former}
     cell.advance(9.0)
-    assert cell.home() != former
+    assert cell.leader() != former
     assert (cell.check() == []) is safeguard
 
 
@@ -183,17 +183,17 @@
     Its first holds carry no lease: another home may wait for the end of the last one meanwhile.
     """
     cell = make_cell(n_instances=2, n_workers=2)
-    home = cell.home()
+    leader = cell.leader()
     cell.advance(1.0)
-    cell.pause(home)
+    cell.pause(leader)
     cell.advance(5.0)
     before = {name: worker.until for name, worker in cell.workers.items()}
     for faults in cell.worker_faults.values():
         faults.loses_answers = True
-    cell.resume(home)
+    cell.resume(leader)
     cell.advance(0.3)
     assert all(cell.workers[name].until <= max(before[name], 0.0) for name in before) or (
-        cell.home() != home
+        cell.leader() != leader
     )
 
 
@@ -234,7 +234,7 @@
     must not be started there again.
     """
     cell = make_cell(n_instances=3, n_workers=2)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(former, JOB, {"count": 2, "cpu": 1000}, spec="0.9 done 1000")
     cell.advance(0.8)
     cell.store_faults.silent = True
@@ -243,7 +243,7 @@
     cell.advance(0.6)
     cell.kill(former)
     cell.advance(6.0)
-    assert cell.home() != former
+    assert cell.leader() != former
     assert cell.check() == []
 
 
@@ -267,11 +267,11 @@
     cell.advance(1.0)
     for worker_id in hidden:
         cell.store.remove("servers", worker_id)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(1.0)
     cell.store_faults.clear()
     cell.advance(1.0)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(1.0)
     for worker_id in hidden:
         cell.store.put("servers", worker_id, cell.workers[worker_id].entry())
@@ -303,7 +303,7 @@
     cell.advance(0.5)
     cell.worker_faults[worker_id].silent = True
     for _ in range(2):
-        cell.kill(cell.home())
+        cell.kill(cell.leader())
         cell.advance(1.0)
     cell.advance(4.0)
     assert (cell.check() == []) is safeguard
--- a/anvilflow/cell/tests/test_janitor.py
+++ b/anvilflow/cell/tests/test_janitor.py
@@ -52,7 +52,7 @@
     answers = cell.submit(name, JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(1.0)
     assert answers[0][0] == 200
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert len(cell.runs_of(f"{JOB}.0.0.0")) == 1
     assert cell.call(name, "GET", "/urgent/")[0][1] == {"pending": 0}
 
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -26,7 +26,7 @@
 
 
 def _silent_workers(cell):
-    scheduler = cell.daemons[cell.home()].supervisor.part("home")._scheduler
+    scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     return [name for name, worker in scheduler.workers.items() if worker.silent]
 
 
@@ -99,8 +99,8 @@
         return fail(WorkerUnreachableError("no answer"))
 
     calls = SimpleNamespace(worker_id="i-0", timeout=0.4, stop=stop)
-    home = SimpleNamespace(limit_s=lambda: 0.0, call_unanswered=lambda: None)
-    session = WorkerSession(clock=clock, calls=calls, lease_s=3.0, home=home)
+    fleet = SimpleNamespace(limit_s=lambda: 0.0, call_unanswered=lambda: None)
+    session = WorkerSession(clock=clock, calls=calls, lease_s=3.0, fleet=fleet)
     session.stop(StopRun(worker_id="i-0", task="a.0.0.0", run_id=1, why="cancelled"))
     clock.pump([0.05] * 200)
     assert (len(sent) <= 14) is safeguard
--- a/anvilflow/cell/tests/test_observer.py
+++ b/anvilflow/cell/tests/test_observer.py
@@ -39,12 +39,12 @@
     cell.advance(3.0)
     cell.state(name, JOB)
     entry_page, _ = ask(cell, name, b"/metrics")
-    home_page, _ = ask(cell, cell.home(), b"/metrics")
+    leader_page, _ = ask(cell, cell.leader(), b"/metrics")
     assert b'anvilflow_calls_total{status="200",verb="POST"} 1.0' in entry_page
     assert b"anvilflow_accept_seconds_count 1.0" in entry_page
-    assert b'anvilflow_ends_total{how="done"} 4.0' in home_page
-    assert b"anvilflow_first_start_seconds_count 1.0" in home_page
-    assert b'anvilflow_takeovers_total{why="no home"} 1.0' in home_page
+    assert b'anvilflow_ends_total{how="done"} 4.0' in leader_page
+    assert b"anvilflow_first_start_seconds_count 1.0" in leader_page
+    assert b'anvilflow_takeovers_total{why="no home"} 1.0' in leader_page
 
 
 def test_verbs_that_clients_make_up_do_not_grow_the_page():
@@ -63,7 +63,7 @@
     cell = make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="5.0 done 1000")
     cell.advance(0.5)
-    dump, _ = ask(cell, cell.home(), b"/dump")
+    dump, _ = ask(cell, cell.leader(), b"/dump")
     assert msgspec.json.decode(dump)["home"]["jobs"] == {JOB: "running"}
 
 
@@ -85,12 +85,12 @@
 def test_policy_that_is_read_anew_is_followed():
     """An operator sets a threshold and sends SIGHUP: the home's next plan goes by it."""
     cell = make_cell()
-    daemon = cell.daemons[cell.home()]
+    daemon = cell.daemons[cell.leader()]
     policy = SchedulingPolicy(preempt_s=None)
     new = msgspec.structs.replace(daemon.context.settings, scheduling=policy)
     daemon.reload(lambda: new)
     cell.advance(0.2)
-    assert daemon.context.home._scheduler.policy is policy
+    assert daemon.context.leader._scheduler.policy is policy
 
 
 @pytest.mark.parametrize("fault", ["unreadable", "other address"])
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _entry, _home_calls
+from anvilflow.cell import _entry, _leader_calls
 from anvilflow.cell._job_store import store_job
 from anvilflow.exceptions import NotFoundError
 from anvilflow.jobs import Scheduler
@@ -57,12 +57,12 @@
     the next home takes the job for one that goes on, and starts the rest of it.
     """
     if not safeguard:
-        monkeypatch.setattr(_home_calls.HomeCalls, "_cancel", _cancel_in_memory)
+        monkeypatch.setattr(_leader_calls.LeaderCalls, "_cancel", _cancel_in_memory)
     cell = make_cell(n_workers=1, cpu=4000)
     step = {"count": 8, "cpu": 1000}
     cell.submit("a0", JOB, step, spec="3.0 done 1000")
     cell.advance(1.0)
-    instance = cell.home() if asked == "home" else cell.other()
+    instance = cell.leader() if asked == "home" else cell.other()
     _answer(cell, cell.call(instance, "DELETE", f"/urgent/{JOB}"))
     _lose_power(cell, back)
     cell.advance(6.0)
@@ -162,7 +162,7 @@
     """Ask the home all the time; stop in the moment in which the job is shown as completed."""
     for _ in range(round(3.0 / MOMENT_S)):
         cell.clock.advance(MOMENT_S)
-        for name in cell.homes():
+        for name in cell.leaders():
             answers = cell.call(name, "GET", f"/urgent/{JOB}")
             if answers and answers[0][1] == {"state": "completed"}:
                 return
@@ -185,8 +185,8 @@
 
 
 def _cancel_in_memory(self, job_id):
-    self.home.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
-    return succeed(_home_calls._reply("ok"))
+    self.leader.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
+    return succeed(_leader_calls._reply("ok"))
 
 
 def _state_in_memory(self, job_id):
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -65,9 +65,9 @@
     cell = make_cell(n_workers=8, sizes=_sizes)
     _limit_calls(monkeypatch, cell.store)
     for number in range(30):
-        cell.submit(cell.home(), f"{number + 1:016x}", {"count": 2, "cpu": 1000})
+        cell.submit(cell.leader(), f"{number + 1:016x}", {"count": 2, "cpu": 1000})
     cell.advance(3.0)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000})
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000})
     cell.advance(3.0)
     ended = cell.store.value("ended", JOB, part="cell")
     assert (ended is not None and ended["state"] == "completed") is safeguard
@@ -84,9 +84,9 @@
     monkeypatch.setattr(JobRun, "to_record", _large(JobRun.to_record, 70_000))
     cell = make_cell(n_workers=8, sizes=_sizes)
     _limit_rows(monkeypatch, cell.store)
-    cell.submit(cell.home(), f"{1:016x}", {"count": 2, "cpu": 1000})
+    cell.submit(cell.leader(), f"{1:016x}", {"count": 2, "cpu": 1000})
     cell.advance(3.0)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000})
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000})
     cell.advance(3.0)
     assert (cell.store.value("ended", JOB, part="cell") is not None) is safeguard
     record = cell.store.value("progress", f"{1:016x}", part="cell")
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -21,12 +21,12 @@
     would refuse what only a home can answer for 1.8 s.
     """
     cell = make_cell(n_instances=N_MANY)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(0.6)
-    homes = cell.homes()
-    assert homes == [cell.home()]
-    followers = [name for name in cell.daemons if name not in homes]
-    found = [name for name in followers if cell.daemons[name].context.links.home_link]
+    leaders = cell.leaders()
+    assert leaders == [cell.leader()]
+    followers = [name for name in cell.daemons if name not in leaders]
+    found = [name for name in followers if cell.daemons[name].context.links.leader_link]
     assert found == followers
 
 
@@ -37,7 +37,7 @@
     """
     cell = make_cell(n_instances=N_MANY)
     term = cell.store.value("home", "home", part="cell")["term"]
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(3.0)
     assert cell.store.value("home", "home", part="cell")["term"] == term + 1
 
@@ -135,7 +135,7 @@
     cell.advance(0.1)
     cell.store_faults.clear()
     cell.store_faults.status = 503
-    cell.store_faults.only = {name, cell.home()}
+    cell.store_faults.only = {name, cell.leader()}
     cell.advance(0.8)
     cell.store_faults.clear()
     cell.advance(5.0)
@@ -150,10 +150,10 @@
     its place, and three homes followed each other in three seconds.
     """
     cell = make_cell(n_instances=4)
-    home = cell.home()
+    leader = cell.leader()
     term = cell.store.value("home", "home", part="cell")["term"]
     for _ in range(20):
-        cell.daemons[home].context.store_health.bad()
+        cell.daemons[leader].context.store_health.bad()
         cell.advance(0.1)
     assert cell.store.value("home", "home", part="cell")["term"] == term
 
@@ -165,8 +165,8 @@
     0.4 s later, and what its clients submit meanwhile.
     """
     cell = make_cell(n_instances=4)
-    home = cell.home()
-    cell.power_off(home)
+    leader = cell.leader()
+    cell.power_off(leader)
     others = list(cell.daemons)
     for name in others:
         cell.kill(name)
@@ -174,9 +174,9 @@
     for name in others:
         cell.start_instance(name)
     cell.advance(0.6)
-    assert cell.home() in others
-    followers = [name for name in others if name != cell.home()]
-    assert [name for name in followers if cell.daemons[name].context.links.home_link] == followers
+    assert cell.leader() in others
+    followers = [name for name in others if name != cell.leader()]
+    assert [name for name in followers if cell.daemons[name].context.links.leader_link] == followers
 
 
 def test_an_outage_is_logged_once_by_each_instance():
@@ -229,7 +229,7 @@
     cell.store_faults.slow_s = 0.3
     cell.advance(3.0)
     before = cell.store.n_writes
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(2.2)
     assert cell.store.value("home", "home", part="cell")["term"] == term + 1
     # The claim, and what the new home writes: no crowd of others.
@@ -248,12 +248,12 @@
     if not safeguard:
         monkeypatch.setattr(_links, "MAX_ADDRESSES", 0)
     cell = make_cell(n_instances=5)
-    former = cell.home()
+    former = cell.leader()
     cut = [former, next(name for name in cell.daemons if name != former)]
     setattr(cell.store_faults, kind, {"silent": True, "status": 503}[kind])
     cell.store_faults.only = set(cut)
     cell.advance(2.5)
-    assert cell.home() not in cut
+    assert cell.leader() not in cut
     answers = [cell.submit(name, f"00000000000002{n:02x}", STEP) for n, name in enumerate(cut)]
     cell.advance(0.1)
     statuses = [answer[0][0] if answer else None for answer in answers]
--- a/anvilflow/cell/tests/test_registry.py
+++ b/anvilflow/cell/tests/test_registry.py
@@ -3,7 +3,7 @@
 import pytest
 from logbook import TestHandler as LogRecorder
 
-from anvilflow.cell import _home_state, _registry
+from anvilflow.cell import _leader_state, _registry
 from anvilflow.standins import PlatformCell, make_platform_config
 
 from ._helpers import JOB, STEP, make_cell
@@ -36,7 +36,7 @@
             cell.advance(1.0)
     lines = [line for line in log.records if line.message == "worker's entry not understood"]
     assert len(lines) == 1
-    assert "stranger" not in cell.daemons[cell.home()].context.home._scheduler.workers
+    assert "stranger" not in cell.daemons[cell.leader()].context.leader._scheduler.workers
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -56,7 +56,7 @@
     cell.submit(cell.other(), JOB, *steps, spec="1.0 done 1000")
     cell.advance(0.9)
     overwrite(cell, "stranger", {"hello": 1})
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(2.0)
     assert (len(cell.runs_of(f"{JOB}.0.1.0")) == 1) is safeguard
 
@@ -84,7 +84,7 @@
         overwrite(cell, span.worker, change)
     cell.advance(1.0)
     if with_take_over:
-        cell.kill(cell.home())
+        cell.kill(cell.leader())
     cell.advance(6.0)
     assert cell.check() == []
     assert sorted(span.task for span in cell.spans) == [f"{JOB}.0.0.{n}" for n in range(6)]
@@ -100,12 +100,14 @@
     run there. Taken for an entry like any other, the task ran a second time beside the first.
     """
     if not safeguard:
-        monkeypatch.setattr(_home_state, "names_worker", lambda row, config: row.value is not None)
+        monkeypatch.setattr(
+            _leader_state, "names_worker", lambda row, config: row.value is not None
+        )
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit(cell.other(), JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
     cell.advance(1.0)
     overwrite(cell, cell.spans[0].worker, {"hello": 1})
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(5.0)
     assert (cell.check() == []) is safeguard
 
@@ -129,7 +131,7 @@
     early = cell.add_worker("i-9", "w9:1")
     cell.store.put("servers", "i-9", {**early.entry(), "service": "new"})
     cell.start()
-    workers = cell.daemons[cell.home()].context.home._scheduler.workers
+    workers = cell.daemons[cell.leader()].context.leader._scheduler.workers
     assert "i-9" not in workers
     config = make_platform_config(version=2)
     cell.store.put("op", "config", {**config, "services": [*config["services"], {"name": "new"}]})
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -107,8 +107,8 @@
         monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
     monkeypatch.setattr(LagMeter, "called", lambda self, now: setattr(self, "lag_s", 0.6))
     cell = make_cell(n_instances=4)
-    home = cell.home()
+    leader = cell.leader()
     cell.store_faults.slow_s = 1.3
-    cell.store_faults.only = {home}
+    cell.store_faults.only = {leader}
     cell.advance(4.0)
-    assert (cell.home() == home) is safeguard
+    assert (cell.leader() == leader) is safeguard
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -12,8 +12,8 @@
 
 import pytest
 
-from anvilflow.cell import _home, _home_state, _leadership, _load_beat
-from anvilflow.cell._home import HomePart
+from anvilflow.cell import _leader, _leader_state, _leadership, _load_beat
+from anvilflow.cell._leader import LeaderPart
 from anvilflow.cell._links import LinksPart
 from anvilflow.cell._load_beat import LoadBeat
 from anvilflow.cell._tables import JobRow, job_part
@@ -53,38 +53,38 @@
     It says that it lives to those that are connected, and writes so for the others.
     """
     if not safeguard:
-        monkeypatch.setattr(HomePart, "is_loading", False)
+        monkeypatch.setattr(LeaderPart, "is_loading", False)
         monkeypatch.setattr(LoadBeat, "start", lambda self: None)
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
         cell.wire.slow_link(name, SLOW)
     term = _term(cell)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(5.0)
     assert (_term(cell) == term + 1) is safeguard
     if safeguard:
-        assert cell.homes() == [cell.home()]
+        assert cell.leaders() == [cell.leader()]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_instances_stay_connected_to_a_home_that_loads(monkeypatch, safeguard):
     """A home that only writes that it lives is left and dialled again, over a link that is full."""
     if not safeguard:
-        monkeypatch.setattr(HomePart, "is_loading", False)
+        monkeypatch.setattr(LeaderPart, "is_loading", False)
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
         cell.wire.slow_link(name, SLOW)
     left = []
-    leave = LinksPart.leave_home
-    former = cell.home()
+    leave = LinksPart.leave_leader
+    former = cell.leader()
     cell.kill(former)
-    while cell.home() == former:
+    while cell.leader() == former:
         cell.advance(0.01)
     monkeypatch.setattr(
-        LinksPart, "leave_home", lambda self: (left.append(self.context.name), leave(self))
+        LinksPart, "leave_leader", lambda self: (left.append(self.context.name), leave(self))
     )
     cell.advance(5.0)
-    assert (set(left) <= {cell.home()}) is safeguard
+    assert (set(left) <= {cell.leader()}) is safeguard
 
 
 def _unordered(links):
@@ -102,10 +102,10 @@
         monkeypatch.setattr(LinksPart, "successors", property(_unordered))
     slow = ("a0", "a1", "a2", "a3", "a4", "a6")
     cell = make_cell(n_instances=8, slow=slow)
-    assert cell.home() not in slow
-    cell.kill(cell.home())
+    assert cell.leader() not in slow
+    cell.kill(cell.leader())
     cell.advance(1.0)
-    assert (cell.home() not in slow) is safeguard
+    assert (cell.leader() not in slow) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -118,12 +118,12 @@
         monkeypatch.setattr(_leadership, "WEAK_S", 0.0)
         monkeypatch.setattr(_leadership, "WEAK_RANKS", 0)
     slow = ("a0", "a1", "a2", "a3", "a4", "a5")
-    homes = set()
+    leaders = set()
     for random_state in range(5):
         cell = make_cell(n_instances=8, slow=slow, random_state=random_state)
         end_and_start_all(cell)
-        homes.add(cell.home())
-    assert homes.isdisjoint(slow) is safeguard
+        leaders.add(cell.leader())
+    assert leaders.isdisjoint(slow) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -148,7 +148,7 @@
     for name in names:
         cell.start_instance(name)
     cell.advance(6.0)
-    assert (len(cell.homes()) == 1) is safeguard
+    assert (len(cell.leaders()) == 1) is safeguard
 
 
 def _home_that_one_instance_does_not_reach():
@@ -156,15 +156,15 @@
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
         cell.wire.slow_link(name, SLOW)
-    former, term = cell.home(), _term(cell)
+    former, term = cell.leader(), _term(cell)
     cell.kill(former)
-    while cell.home() == former:
+    while cell.leader() == former:
         cell.advance(0.01)
-    home = cell.home()
-    lone = next(name for name in reversed(cell.daemons) if name != home)
-    cell.network.silence(lone, home)
-    cell.network.silence(home, lone)
-    return cell, home, term
+    leader = cell.leader()
+    lone = next(name for name in reversed(cell.daemons) if name != leader)
+    cell.network.silence(lone, leader)
+    cell.network.silence(leader, lone)
+    return cell, leader, term
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -175,7 +175,7 @@
     monkeypatch.setattr(LoadBeat, "start", lambda self: None)
     cell, _, term = _home_that_one_instance_does_not_reach()
     cell.advance(8.0)
-    assert (len(cell.homes()) == 1 and _term(cell) <= term + 3) is safeguard
+    assert (len(cell.leaders()) == 1 and _term(cell) <= term + 3) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -193,10 +193,10 @@
     if not safeguard:
         monkeypatch.setattr(LoadBeat, "start", lambda self: None)
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
-    cell, home, term = _home_that_one_instance_does_not_reach()
+    cell, leader, term = _home_that_one_instance_does_not_reach()
     cell.advance(5.0)
     assert (_term(cell) == term + 1) is safeguard
-    assert (cell.homes() == [home]) is safeguard
+    assert (cell.leaders() == [leader]) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -213,13 +213,13 @@
     if not safeguard:
         monkeypatch.setattr(LoadBeat, "is_late", False)
     cell = _cell_with_many_jobs(5, n_jobs=200)
-    former = cell.home()
+    former = cell.leader()
     cell.kill(former)
-    while cell.home() == former:
+    while cell.leader() == former:
         cell.advance(0.005)
-    cell.wire.slow_link(cell.home(), 5_000)
+    cell.wire.slow_link(cell.leader(), 5_000)
     cell.advance(8.0)
-    assert (len(cell.homes()) == 1) is safeguard
+    assert (len(cell.leaders()) == 1) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -228,14 +228,14 @@
     if not safeguard:
         monkeypatch.setattr(_load_beat, "MAX_DOUBLINGS", 0)
     cell = _cell_with_many_jobs(5, n_jobs=200)
-    former = cell.home()
+    former = cell.leader()
     cell.kill(former)
-    while cell.home() == former:
+    while cell.leader() == former:
         cell.advance(0.005)
     for name in cell.daemons:
         cell.wire.slow_link(name, 10_000)
     cell.advance(90.0)
-    assert (len(cell.homes()) == 1) is safeguard
+    assert (len(cell.leaders()) == 1) is safeguard
 
 
 #: A link of 2 Mbit/s. Unit: bytes a second, and Mbit/s.
@@ -275,25 +275,25 @@
     loaded, no answer in time" 0.8 s after its claim, and 121 jobs lost.
     """
     if not safeguard:
-        monkeypatch.setattr(_home, "readings_at_once", lambda link_mbps, n_failed: 35)
+        monkeypatch.setattr(_leader, "readings_at_once", lambda link_mbps, n_failed: 35)
     cell = _cell_with_large_rows()
     for name, daemon in cell.daemons.items():
         daemon.context.settings.link_mbps = NARROW_MBPS
         cell.wire.slow_link(name, NARROW)
     term = _term(cell)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(5.5)
-    assert (len(cell.homes()) == 1 and _term(cell) == term + 1) is safeguard
+    assert (len(cell.leaders()) == 1 and _term(cell) == term + 1) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_home_loads_over_a_link_that_is_narrower_than_it_is_said_to_be(monkeypatch, safeguard):
     """The same with settings that tell of fast links: the next tries read less at once."""
     if not safeguard:
-        monkeypatch.setattr(_home_state, "NEXT_TRY_SHARE", 1)
+        monkeypatch.setattr(_leader_state, "NEXT_TRY_SHARE", 1)
     cell = _cell_with_large_rows()
     for name in cell.daemons:
         cell.wire.slow_link(name, NARROW)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(8.0)
-    assert (len(cell.homes()) == 1) is safeguard
+    assert (len(cell.leaders()) == 1) is safeguard
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -11,7 +11,7 @@
 USUAL = Queue(name="usual", host="h", prefix="/n/", service="s", priority=1)
 
 
-class _Home:
+class _Leader:
     """A scheduler with a queue of starts, and what became of them."""
 
     def __init__(self, *, n_workers=40):
@@ -40,75 +40,75 @@
 
 def test_no_more_starts_are_sent_than_the_window_allows():
     """What is sent beyond it waits on the link, where it can be neither ordered nor taken back."""
-    home = _Home()
-    starts = home.submit(1, n_tasks=FIRST_LIMIT + 5)
-    home.queue.send_due()
-    assert home.sent == starts[:FIRST_LIMIT]
-    home.queue.over(starts[0])
-    assert home.sent == starts[: FIRST_LIMIT + 1]
-    home.queue.over(starts[0])
-    assert len(home.sent) == FIRST_LIMIT + 1
+    leader = _Leader()
+    starts = leader.submit(1, n_tasks=FIRST_LIMIT + 5)
+    leader.queue.send_due()
+    assert leader.sent == starts[:FIRST_LIMIT]
+    leader.queue.over(starts[0])
+    assert leader.sent == starts[: FIRST_LIMIT + 1]
+    leader.queue.over(starts[0])
+    assert len(leader.sent) == FIRST_LIMIT + 1
 
 
 def test_more_urgent_start_overtakes_those_that_wait():
     """Behind a burst of long jobs a quick one waited until the link had carried them all."""
-    home = _Home()
-    home.submit(1, n_tasks=FIRST_LIMIT + 5)
-    home.queue.send_due()
-    [urgent] = home.submit(2, n_tasks=1, queue=URGENT)
-    home.queue.over(home.sent[0])
-    assert home.sent[-1] == urgent
+    leader = _Leader()
+    leader.submit(1, n_tasks=FIRST_LIMIT + 5)
+    leader.queue.send_due()
+    [urgent] = leader.submit(2, n_tasks=1, queue=URGENT)
+    leader.queue.over(leader.sent[0])
+    assert leader.sent[-1] == urgent
 
 
 def test_gang_is_sent_as_a_whole():
     """Members that were sent alone waited at work for the others, and ended without them."""
-    home = _Home()
-    starts = home.submit(1, n_tasks=FIRST_LIMIT + 5, gang=True)
-    home.queue.send_due()
-    assert home.sent == starts
+    leader = _Leader()
+    starts = leader.submit(1, n_tasks=FIRST_LIMIT + 5, gang=True)
+    leader.queue.send_due()
+    assert leader.sent == starts
 
 
 def test_gang_with_a_member_whose_worker_fell_silent_is_not_sent():
     """Its other members would wait at work for one that does not come."""
-    home = _Home()
-    starts = home.submit(1, n_tasks=3, gang=True)
-    home.scheduler.worker_silent(starts[1].worker_id, 0.0)
-    home.queue.send_due()
-    assert home.sent == []
-    assert home.dropped == starts
+    leader = _Leader()
+    starts = leader.submit(1, n_tasks=3, gang=True)
+    leader.scheduler.worker_silent(starts[1].worker_id, 0.0)
+    leader.queue.send_due()
+    assert leader.sent == []
+    assert leader.dropped == starts
 
 
 def test_start_whose_worker_drains_meanwhile_is_not_sent():
     """A start that waited must not go to a worker that takes no work any more."""
-    home = _Home()
-    [start] = home.submit(1, n_tasks=1)
-    worker = home.scheduler.workers[start.worker_id]
+    leader = _Leader()
+    [start] = leader.submit(1, n_tasks=1)
+    worker = leader.scheduler.workers[start.worker_id]
     worker.listed = False
-    home.queue.send_due()
-    assert home.sent == []
-    assert home.dropped == [start]
+    leader.queue.send_due()
+    assert leader.sent == []
+    assert leader.dropped == [start]
 
 
 def test_start_of_a_cancelled_job_is_taken_back():
     """Sent and stopped again, it would load a full link twice for nothing."""
-    home = _Home()
-    home.submit(1, n_tasks=1)
-    [stop] = home.scheduler.cancel_job(f"{1:016x}", 0.0)
+    leader = _Leader()
+    leader.submit(1, n_tasks=1)
+    [stop] = leader.scheduler.cancel_job(f"{1:016x}", 0.0)
     assert isinstance(stop, StopRun)
-    assert home.queue.withdraw(stop)
-    assert not home.queue.withdraw(stop)
-    home.queue.send_due()
-    assert home.sent == []
-    assert len(home.queue) == 0
+    assert leader.queue.withdraw(stop)
+    assert not leader.queue.withdraw(stop)
+    leader.queue.send_due()
+    assert leader.sent == []
+    assert len(leader.queue) == 0
 
 
 def test_starts_wait_while_nothing_may_be_ordered():
     """A home that may have lost its place must neither send starts nor lose them."""
-    home = _Home()
-    starts = home.submit(1, n_tasks=2)
-    home.may_order = False
-    home.queue.send_due()
-    assert home.sent == []
-    home.may_order = True
-    home.queue.send_due()
-    assert home.sent == starts
+    leader = _Leader()
+    starts = leader.submit(1, n_tasks=2)
+    leader.may_order = False
+    leader.queue.send_due()
+    assert leader.sent == []
+    leader.may_order = True
+    leader.queue.send_due()
+    assert leader.sent == starts
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -73,9 +73,9 @@
     cell.start_instance("a4")
     cell.start_instance("a5")
     cell.advance(1.0)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(1.5)
-    assert (cell.home() == "a4") is safeguard
+    assert (cell.leader() == "a4") is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -83,12 +83,12 @@
     """All instances are killed at once and started again: nobody knows an order."""
     if not safeguard:
         monkeypatch.setattr(_strength, "HOME_CPU_MILLI", 0)
-    homes = set()
+    leaders = set()
     for random_state in range(4):
         cell = make_cell(n_instances=6, weak=WEAK, random_state=random_state)
         end_and_start_all(cell)
-        homes.add(cell.home())
-    assert (homes == {"a4"}) is safeguard
+        leaders.add(cell.leader())
+    assert (leaders == {"a4"}) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -101,11 +101,11 @@
     if not safeguard:
         monkeypatch.setattr(_strength, "GIVE_WAY_TIMES", float("inf"))
     cell = make_cell(n_instances=4, n_workers=12, weak=WEAK)
-    assert cell.home() in WEAK
+    assert cell.leader() in WEAK
     cell.start_instance("a4")
     cell.advance(_home_voice.GIVE_WAY_AFTER_S)
     job_ids = _play_burst(cell, call_s={"a4": CALL_S / 8})
-    assert (cell.home() == "a4") is safeguard
+    assert (cell.leader() == "a4") is safeguard
     done = {span.task.split(".")[0] for span in cell.spans if span.how == "done"}
     assert done == set(job_ids)
     assert cell.check() == []
@@ -118,10 +118,10 @@
         monkeypatch.setattr(_links, "RESTARTED_S", float("inf"))
     cell = make_cell(n_instances=5)
     cell.advance(10.0)
-    last = max(name for name in cell.daemons if name != cell.home())
+    last = max(name for name in cell.daemons if name != cell.leader())
     cell.kill(last)
     cell.advance(0.5)
     cell.start_instance(last)
     cell.advance(1.0)
-    successors = cell.daemons[cell.home()].context.links.successors
+    successors = cell.daemons[cell.leader()].context.links.successors
     assert (successors[0] == last) is safeguard
--- a/anvilflow/cell/tests/test_unreadable_rows.py
+++ b/anvilflow/cell/tests/test_unreadable_rows.py
@@ -19,7 +19,7 @@
     cell.advance(0.2)
     part = "jobs-01" if table == "jobs" else "cell"
     cell.store.put(table, "01000000000000c3", value, part=part)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(8.0)
     instance = next(iter(cell.daemons))
     assert cell.state(instance, OTHER_JOB) == "completed"
@@ -37,7 +37,7 @@
     cell.advance(2.5)
     n_runs = len(cell.spans)
     cell.store.put(table, JOB, [], part="cell")
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(12.0)
     assert len(cell.spans) == n_runs
 
@@ -45,10 +45,10 @@
 def test_unreadable_row_written_later_does_not_stop_the_home():
     """Guards against a home that fails on an unreadable update of the jobs table."""
     cell = make_cell(n_instances=3)
-    home = cell.home()
+    leader = cell.leader()
     cell.store.put("jobs", "01000000000000c3", [], part="jobs-01")
     cell.advance(3.0)
-    assert cell.homes() == [home]
+    assert cell.leaders() == [leader]
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="1.0 done 1000")
     cell.advance(3.0)
     assert cell.state("a0", JOB) == "completed"
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _home_state
+from anvilflow.cell import _leader_state
 from anvilflow.jobs import GracePeriod, Scheduler, StartRun
 
 from ._helpers import JOB, make_cell
@@ -23,7 +23,7 @@
     stopped as soon as the first worker is heard.
     """
     if not safeguard:
-        monkeypatch.setattr(_home_state, "find_missing", lambda *args: succeed(frozenset()))
+        monkeypatch.setattr(_leader_state, "find_missing", lambda *args: succeed(frozenset()))
     cell = make_cell(n_instances=4, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="1.1 done 9000")
     cell.advance(0.3)
@@ -33,11 +33,11 @@
     for worker_id in cell.workers:
         cell.store.remove("servers", worker_id)
     cell.advance(6.0)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.store_faults.clear()
     cell.advance(0.7)
     for _ in range(n_more_homes):
-        cell.kill(cell.home())
+        cell.kill(cell.leader())
         cell.advance(0.7)
     for worker_id in sorted(cell.workers, key=busy.__contains__):
         cell.store.put("servers", worker_id, cell.workers[worker_id].entry())
@@ -61,24 +61,24 @@
         monkeypatch.setattr(Scheduler, "_take_up", lambda self, job, now: [])
     cell = make_cell(n_instances=3, n_workers=3)
     cell.advance(0.5)
-    home, entry = cell.home(), cell.other()
+    leader, entry = cell.leader(), cell.other()
     _wait_for_a_reading_of_jobs(cell)
-    cell.network.silence(entry, home)
+    cell.network.silence(entry, leader)
     cell.submit(entry, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(0.05)
     _start_as_a_former_home_did(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
     cell.advance(0.2)
-    scheduler = cell.daemons[home].supervisor.part("home")._scheduler
+    scheduler = cell.daemons[leader].supervisor.part("home")._scheduler
     assert cell.spans[0].how == "done" and not scheduler.jobs
     cell.advance(4.0)
-    assert cell.home() == home
-    assert cell.state(home, JOB) == "completed"
+    assert cell.leader() == leader
+    assert cell.state(leader, JOB) == "completed"
     assert (cell.check() == []) is safeguard
     assert cell.workers["i-0"].finished == []
 
 
 def _wait_for_a_reading_of_jobs(cell):
-    scheduler = cell.daemons[cell.home()].supervisor.part("home")._scheduler
+    scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     before = scheduler._jobs_known_at
     _advance_until(cell, lambda: scheduler._jobs_known_at != before)
 
@@ -93,7 +93,7 @@
 
 def _start_as_a_former_home_did(cell, worker_id, task, payload):
     worker = cell.workers[worker_id]
-    calls = cell.daemons[cell.home()].supervisor.part("home")._fleet._sessions[worker_id].calls
+    calls = cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions[worker_id].calls
     start = StartRun(
         worker_id=worker_id, task=task, run_id=1, payload=payload, checkpoint="", ticket=""
     )
@@ -115,13 +115,13 @@
         monkeypatch.setattr(GracePeriod, "may_have_begun", _only_what_was_there)
     cell = make_cell(n_instances=4, n_workers=4)
     cell.advance(0.5)
-    former = cell.home()
+    former = cell.leader()
     cell.store_faults.silent = True
     cell.store_faults.only = {former}
-    _advance_until(cell, lambda: cell.home() != former)
+    _advance_until(cell, lambda: cell.leader() != former)
     cell.worker_faults["i-0"].silent = True
     cell.worker_faults["i-0"].only = set(cell.daemons) - {former}
-    entry = next(name for name in cell.daemons if name not in (former, cell.home()))
+    entry = next(name for name in cell.daemons if name not in (former, cell.leader()))
     cell.advance(0.01)
     cell.submit(entry, JOB, {"count": 8, "cpu": 4000}, spec="2.0 done 4000")
     cell.advance(3.0)
@@ -150,10 +150,10 @@
         monkeypatch.setattr(GracePeriod, "row_written", lambda self, version, sent_at: None)
     cell = make_cell(n_instances=3, n_workers=4)
     cell.advance(0.5)
-    former = cell.home()
+    former = cell.leader()
     cell.worker_faults["i-3"].silent = True
     cell.kill(former)
-    _advance_until(cell, lambda: cell.home() != former)
+    _advance_until(cell, lambda: cell.leader() != former)
     cell.advance(0.9)
     accepted_at = cell.clock.seconds()
     cell.submit("a0" if former != "a0" else "a1", JOB, {"count": 3, "cpu": 1000})
@@ -169,13 +169,15 @@
     the record of the job's end: the client heard 200, and a home that died then had lost it.
     """
     cell = make_cell(n_instances=3, n_workers=3)
-    home = cell.home()
-    cell.submit(home, JOB, {"count": 1, "cpu": 1000}, {"count": 1, "after": [0]}, spec="0.5 done 1")
+    leader = cell.leader()
+    cell.submit(
+        leader, JOB, {"count": 1, "cpu": 1000}, {"count": 1, "after": [0]}, spec="0.5 done 1"
+    )
     cell.advance(0.4)
     cell.store_faults.slow_s = 0.3
     _advance_until(cell, lambda: any(span.how == "done" for span in cell.spans))
     cell.advance(0.35)
-    answers = cell.call(home, "DELETE", f"/urgent/{JOB}")
+    answers = cell.call(leader, "DELETE", f"/urgent/{JOB}")
     _advance_until(cell, lambda: answers)
     assert answers[0][0] == 200
     assert cell.store.value("ended", JOB, part="cell")["state"] == "cancelled"
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_warm_tables.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from anvilflow.cell._home_state import read_state
+from anvilflow.cell._leader_state import read_state
 from anvilflow.cell._warm_tables import N_WARM, WarmTablesPart
 
 from ._helpers import JOB, STEP, cancel, make_cell
@@ -32,16 +32,16 @@
         daemon.context.settings.link_mbps = NARROW_MBPS
         cell.wire.slow_link(name, NARROW)
     cell.advance(12.0)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(1.0)
-    assert (len(cell.homes()) == 1) is safeguard
+    assert (len(cell.leaders()) == 1) is safeguard
 
 
 def test_only_the_next_homes_follow_and_only_where_reading_takes_long():
     """Each follower reads all that is written."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
-    successors = cell.daemons[cell.home()].context.links.successors
+    successors = cell.daemons[cell.leader()].context.links.successors
     assert set(_warm(cell)) == set(successors[:N_WARM])
     fast = make_cell(n_instances=5)
     fast.advance(2.0)
@@ -81,11 +81,11 @@
     cell.advance(2.0)
     cell.store.put("jobs", "unreadable", 1, part="jobs-00")
     cell.store.forget_history()
-    former = cell.home()
+    former = cell.leader()
     cell.kill(former)
     cell.advance(2.0)
-    assert len(cell.homes()) == 1
-    cell.submit(cell.home(), JOB, STEP, spec="0.2 done 1000")
+    assert len(cell.leaders()) == 1
+    cell.submit(cell.leader(), JOB, STEP, spec="0.2 done 1000")
     cell.advance(1.0)
     assert len(cell.spans) == STEP["count"]
 
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -20,7 +20,7 @@
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
     cell = make_cell(n_instances=3, n_workers=3)
-    former = cell.home()
+    former = cell.leader()
     for worker_id in ("i-0", "i-1"):
         cell.worker_faults[worker_id].late_s = 2.0
         cell.worker_faults[worker_id].only = {former}
@@ -46,7 +46,7 @@
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
     cell.advance(1.2)
     cell.worker_faults[cell.spans[0].worker].silent = True
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(8.0)
     assert (cell.check() == []) is safeguard
     assert len(cell.runs_of(f"{JOB}.0.0.0") + cell.runs_of(f"{JOB}.0.0.1")) == 3
@@ -258,8 +258,8 @@
     cell.advance(1.6)
     cell.worker_faults["i-0"].clear()
     cell.advance(1.0)
-    home = cell.daemons[cell.home()].supervisor.part("home")
-    assert ("i-0" in home._scheduler.workers) is safeguard
+    leader = cell.daemons[cell.leader()].supervisor.part("home")
+    assert ("i-0" in leader._scheduler.workers) is safeguard
     cell.store.put("servers", "i-0", cell.workers["i-0"].entry())
     cell.advance(1.0)
     before = cell.workers["i-0"].n_holds
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -293,17 +293,17 @@
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
 
-    def home(self):
+    def leader(self):
         """Return the name of the instance that the store knows as the home."""
         return self.store.value("home", "home", part="cell")["holder"]
 
-    def homes(self):
+    def leaders(self):
         """Return the instances that act as home now."""
-        return [name for name, daemon in self.daemons.items() if daemon.context.home is not None]
+        return [name for name, daemon in self.daemons.items() if daemon.context.leader is not None]
 
     def other(self):
         """Return an instance that is not the home."""
-        return next(name for name in self.daemons if name != self.home())
+        return next(name for name in self.daemons if name != self.leader())
 
     def call(self, instance, method, path, body=b""):
         """Make a client's call; return a list that gets ``(status, value, headers)``."""
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -65,8 +65,8 @@
 
 def _submit(cell, number):
     """Submit a job at an instance that is not the home, if there is one."""
-    home = cell.home()
-    entries = [name for name in cell.daemons if name != home] or [home]
+    leader = cell.leader()
+    entries = [name for name in cell.daemons if name != leader] or [leader]
     name = entries[number % len(entries)]
     job_id = f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
     # The estimate keeps jobs from being refused for beginning late.
@@ -79,16 +79,16 @@
     """What the home, and all others, have sent, received and spent so far."""
 
     def __init__(self, cell):
-        home = cell.home()
-        self.home = home
+        leader = cell.leader()
+        self.leader = leader
         self.n_starts = len(cell.spans)
-        self.out = self._sent(cell, lambda name: name == home)
-        self.received = sum(n for (caller, _), n in cell.wire.bytes_in.items() if caller == home)
-        self.received += sum(n for (_, there), n in cell.network.bytes.items() if there == home)
-        self.others_out = self._sent(cell, lambda name: name != home)
-        self.spent_s = cell.clocks[home].spent_s
+        self.out = self._sent(cell, lambda name: name == leader)
+        self.received = sum(n for (caller, _), n in cell.wire.bytes_in.items() if caller == leader)
+        self.received += sum(n for (_, there), n in cell.network.bytes.items() if there == leader)
+        self.others_out = self._sent(cell, lambda name: name != leader)
+        self.spent_s = cell.clocks[leader].spent_s
         self.others_spent_s = sum(clock.spent_s for clock in cell.clocks.values()) - self.spent_s
-        self.calls = sum(n for (caller, _), n in cell.wire.calls.items() if caller == home)
+        self.calls = sum(n for (caller, _), n in cell.wire.calls.items() if caller == leader)
 
     @staticmethod
     def _sent(cell, is_counted):
@@ -115,7 +115,7 @@
         f" {1000 * (after.spent_s - before.spent_s) / n_starts:.3f} ms;"
         f" at all others: {(after.others_out - before.others_out) / n_starts:5.0f} bytes out,"
         f" {1000 * (after.others_spent_s - before.others_spent_s) / n_starts:.3f} ms"
-        f"{'' if before.home == after.home else '; the home changed'}"
+        f"{'' if before.leader == after.leader else '; the home changed'}"
         f"; broken: {len(cell.check())}"
     )
 
@@ -125,7 +125,7 @@
     for number in range(N_STORED):
         _submit(cell, number)
         cell.advance(0.15)
-    ended = cell.home()
+    ended = cell.leader()
     end(cell, ended)
     ended_at = cell.clock.seconds()
     number = N_STORED
@@ -133,7 +133,7 @@
         _submit(cell, number)
         number += 1
         cell.advance(1 / USUAL_PER_S)
-        if cell.home() != ended and _first_start(cell, ended, ended_at) is not None:
+        if cell.leader() != ended and _first_start(cell, ended, ended_at) is not None:
             break
     started_at = _first_start(cell, ended, ended_at)
     took = "none" if started_at is None else f"{started_at - ended_at:.2f} s"
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -132,13 +132,13 @@
         if self.calm is not None:
             self.calm.disturb(names, for_s)
 
-    def _home(self):
+    def _leader(self):
         row = self.world.store.value("home", "home", part="cell")
         return row["holder"] if row else self.instances.names[0]
 
     def _instance(self, fault):
         names = self.instances.names
-        return self._home() if "home" in fault.kind else names[int(fault.pick * len(names))]
+        return self._leader() if "home" in fault.kind else names[int(fault.pick * len(names))]
 
     def _place(self, fault):
         return self.world.places[int(fault.pick * len(self.world.places))]
@@ -178,7 +178,7 @@
             case ["silence", "stores" | "peers" | "both" as which]:
                 self._silence_all(which)
             case ["home's", end, what]:
-                proxy = self.world.proxies[f"{self._home()} {end}"]
+                proxy = self.world.proxies[f"{self._leader()} {end}"]
                 self._connections(fault, proxy, "cut both" if what == "cut" else what)
             case ["store", *what]:
                 self._store(" ".join(what), fault.for_s)
