--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -20,13 +20,13 @@
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
-from ._home_voice import HomeVoice
 from ._janitor import SWEEP_S, Janitor
 from ._job_intake import JobIntake
 from ._job_store import read_jobs
 from ._leader_calls import LeaderCalls
+from ._leader_heartbeat import LeaderHeartbeat
 from ._leader_state import make_scheduler, read_state, readings_at_once
-from ._load_beat import LoadBeat
+from ._loading_heartbeat import LoadingHeartbeat
 from ._recorder import Recorder
 from ._tables import JOBS
 from ._waiting import Waiting
@@ -77,18 +77,18 @@
         self._loaded = False
         self.loaded_at = None
         self._n_failed_loads = 0
-        self._load_beat = None
+        self._loading_heartbeat = None
         self._janitor = None
         self._intake = None
-        self._voice = HomeVoice(context=context, log=self.log, leader=self)
+        self._leader_heartbeat = LeaderHeartbeat(context=context, log=self.log, leader=self)
 
     def start(self):
         """Wait for a claim."""
         self.on(Claimed, self._begin)
         self.on(Deposed, lambda *_: self._end())
         self.on(ConfigChanged, self._config_changed)
-        self.on(Leaving, lambda *_: self._voice.tell())
-        self.every(LAG_PERIOD_S, self._voice.beat_due)
+        self.on(Leaving, lambda *_: self._leader_heartbeat.tell())
+        self.every(LAG_PERIOD_S, self._leader_heartbeat.heartbeat_due)
         self.every(PLAN_S, self._plan_due)
         self.every(SWEEP_S, self._sweep, delay=SWEEP_S)
 
@@ -126,11 +126,11 @@
             self._n_failed_loads = 0
         self._end()
         self._claimed = claimed
-        self._load_beat = LoadBeat(
+        self._loading_heartbeat = LoadingHeartbeat(
             context=self.context, claimed=claimed, on_deposed=self.deposed, on_error=self.fail_with
         )
-        self._load_beat.start()
-        self._voice.tell()
+        self._loading_heartbeat.start()
+        self._leader_heartbeat.tell()
         done = self._load(claimed)
         done.addErrback(self._load_failed, claimed)
         done.addErrback(self.fail_with)
@@ -140,7 +140,7 @@
         self.log.warning("jobs not loaded", error=str(failure.value))
         self._n_failed_loads += 1
         if self._claimed is claimed:
-            self._load_beat.close()
+            self._loading_heartbeat.close()
             self.later(jitter(self.context.random_state, _AGAIN_S), self._begin_again, claimed)
 
     def _begin_again(self, claimed):
@@ -200,7 +200,7 @@
             self._fleet.take_handover(handover)
         self._loaded = True
         self.loaded_at = self.now
-        self._load_beat.close()
+        self._loading_heartbeat.close()
         self._n_failed_loads = 0
         self.context.leader = self
         self.context.meters.timed("load", self.now - claimed_at)
@@ -211,7 +211,7 @@
             jobs=len(state.jobs),
             workers=len(state.workers),
         )
-        self._voice.tell()
+        self._leader_heartbeat.tell()
         self._recorder.run().addErrback(self.fail_with)
         self._follow_all(state.jobs_version, state.workers_version)
 
@@ -248,8 +248,8 @@
         self._claimed = None
         self._loaded = False
         self.loaded_at = None
-        if self._load_beat is not None:
-            self._load_beat.close()
+        if self._loading_heartbeat is not None:
+            self._loading_heartbeat.close()
         if self.context.leader is self:
             self.context.leader = None
         for follower in self._followers:
@@ -279,9 +279,9 @@
             self._carriers.measure()
             self.context.is_carried = self._carriers.are_used
 
-    def beat(self):
+    def heartbeat(self):
         """Return what the home says of itself and of what waits."""
-        return self._voice.full_beat()
+        return self._leader_heartbeat.full_heartbeat()
 
     def waiting(self):
         """Return what waits, for the other instances."""
@@ -317,7 +317,7 @@
     @property
     def loads_in_vain(self):
         """Whether its tables cannot be read, or not in time."""
-        return self._n_failed_loads > 0 or (self.is_loading and self._load_beat.is_late)
+        return self._n_failed_loads > 0 or (self.is_loading and self._loading_heartbeat.is_late)
 
     # Following tables
 
--- a/anvilflow/cell/_home_voice.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -2,14 +2,14 @@
 
 from ..peers.gen.ttypes import HomeBeat
 from ._strength import gives_way
-from ._waiting import TELL_S
+from ._waiting import PENDING_HEARTBEAT_S
 
 #: Least time for which a home keeps its place before it gives way to a stronger instance: what its
 #: beginning costs is over by then. Unit: seconds.
 GIVE_WAY_AFTER_S = 3.0
 
 
-class HomeVoice:
+class LeaderHeartbeat:
     """Tells that the home lives, who should follow it, and whether one should now.
 
     Parameters
@@ -27,7 +27,7 @@
         self.leader = leader
         self._counted_at = float("-inf")
 
-    def beat(self):
+    def heartbeat(self):
         """Return what the home says of itself."""
         config = self.context.config
         links = self.context.links
@@ -42,20 +42,20 @@
             sent_ms=round(1000 * self.context.clock.seconds()),
         )
 
-    def full_beat(self):
+    def full_heartbeat(self):
         """Return the same with what waits; kept here as well, for when another is the home."""
         waiting = self.leader.waiting()
         self.context.waiting.told(waiting)
         waits = self.leader.start_waits()
         self.context.start_waits.told(waits)
-        beat = self.beat()
-        beat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
-        beat.waiting = waiting.counts
-        beat.jobs_version = waiting.version
+        heartbeat = self.heartbeat()
+        heartbeat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
+        heartbeat.waiting = waiting.counts
+        heartbeat.jobs_version = waiting.version
         self._counted_at = self.context.clock.seconds()
-        return beat
+        return heartbeat
 
-    def beat_due(self):
+    def heartbeat_due(self):
         """Measure how late this instance is, and tell."""
         lag = self.context.lag
         was_short = lag.is_short
@@ -71,10 +71,12 @@
         is_leader = self.context.leader is self.leader or self.leader.is_loading
         if not is_leader or self.context.links is None:
             return
-        is_due = self.context.clock.seconds() >= self._counted_at + TELL_S
-        beat = self.full_beat() if is_due and not self.leader.is_loading else self.beat()
+        is_due = self.context.clock.seconds() >= self._counted_at + PENDING_HEARTBEAT_S
+        heartbeat = (
+            self.full_heartbeat() if is_due and not self.leader.is_loading else self.heartbeat()
+        )
         for link in self.context.links.peers.values():
-            link.send(beat)
+            link.send(heartbeat)
 
     @property
     def _yields(self):
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -102,30 +102,30 @@
 
     def start(self):
         """Look for the home."""
-        self.on(HomeBeat, self._beat)
+        self.on(HomeBeat, self._heartbeat)
         self.on(LeaderLinkLost, lambda *_: self._look())
         self.on(Deposed, self._deposed)
         self.every(LOOK_S, self._look)
 
     # What the home says
 
-    def _beat(self, source, beat):
+    def _heartbeat(self, source, heartbeat):
         self._heard_at = self.now
-        self._patience_s = LAG_TIMES * (beat.lag_ms or 0) / 1000
-        self.context.successors = tuple(beat.successors)
-        self._addresses = tuple(beat.addresses or ())
-        if beat.yielding and not self._yielding:
-            self.log.info("home yields", home=source, term=beat.term)
-        self._yielding = beat.yielding
-        self.context.is_carried = bool(beat.carried)
-        if beat.waiting is not None:
-            waiting = Waiting(counts=beat.waiting, version=beat.jobs_version or 0)
+        self._patience_s = LAG_TIMES * (heartbeat.lag_ms or 0) / 1000
+        self.context.successors = tuple(heartbeat.successors)
+        self._addresses = tuple(heartbeat.addresses or ())
+        if heartbeat.yielding and not self._yielding:
+            self.log.info("home yields", home=source, term=heartbeat.term)
+        self._yielding = heartbeat.yielding
+        self.context.is_carried = bool(heartbeat.carried)
+        if heartbeat.waiting is not None:
+            waiting = Waiting(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
             self.context.waiting.told(waiting)
-            waits = beat.start_waits or {}
+            waits = heartbeat.start_waits or {}
             self.context.start_waits.told({key: ms / 1000 for key, ms in waits.items()})
         config = self.context.config
-        if config is None or beat.config_version > config.version:
-            self.context.config_part.hint(beat.config_version)
+        if config is None or heartbeat.config_version > config.version:
+            self.context.config_part.hint(heartbeat.config_version)
 
     def _deposed(self, _, __):
         if self.is_leader:
@@ -185,15 +185,17 @@
         known_term = self.row.term if self.row is not None else 0
         words = [word for word in words if word is not None]
         leaders = [
-            word for word in words if word.beat.term >= known_term and not word.beat.yielding
+            word
+            for word in words
+            if word.heartbeat.term >= known_term and not word.heartbeat.yielding
         ]
-        leader = max(leaders, key=lambda word: word.beat.term, default=None)
+        leader = max(leaders, key=lambda word: word.heartbeat.term, default=None)
         for word in words:
             if word is not leader:
                 word.link.abort()
         if leader is None or self.is_leader:
             return False
-        self._follow(leader.link, leader.beat.term)
+        self._follow(leader.link, leader.heartbeat.term)
         return True
 
     def _follow(self, link, term):
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -204,7 +204,7 @@
         self.peers[link.peer.instance] = link
         self._note_start(link.peer)
         if self.context.leader is not None:
-            link.send(self.context.leader.beat())
+            link.send(self.context.leader.heartbeat())
 
     def _note_start(self, hello):
         """Note whether an instance was started after this one."""
@@ -237,7 +237,7 @@
         """The other end sent what cannot be read."""
         self.log.warning("instance sent a malformed frame", error=str(error))
 
-    def link_heard(self, link, body):
+    def link_message(self, link, body):
         """Hand a message to whom it is for."""
         match body:
             case JobReply() | AdviceReply() | WorkerAnswer():
@@ -247,7 +247,7 @@
             case HomeBeat():
                 asked = self._asked.pop(link, None)
                 if asked is not None:
-                    asked.callback(LeaderReply(link=link, beat=body))
+                    asked.callback(LeaderReply(link=link, heartbeat=body))
                 elif link is self.leader_link:
                     if body.sent_ms is not None and self.context.carrier is not None:
                         self.context.carrier.heard(link, body.sent_ms)
@@ -342,14 +342,14 @@
     Parameters
     ----------
     link : Link
-    beat : HomeBeat
+    heartbeat : HomeBeat
     """
 
-    __slots__ = ("beat", "link")
+    __slots__ = ("heartbeat", "link")
 
-    def __init__(self, *, link, beat):
+    def __init__(self, *, link, heartbeat):
         self.link = link
-        self.beat = beat
+        self.heartbeat = heartbeat
 
 
 class LeaderLinkLost:
--- a/anvilflow/cell/_load_beat.py
+++ b/anvilflow/cell/_loading_heartbeat.py
@@ -4,7 +4,7 @@
 
 from ..exceptions import PlatformError, PreconditionError
 from ..utils import Ticker, decode
-from ._recorder import BEAT_S
+from ._recorder import HEARTBEAT_S
 from ._tables import LEADER_KEY, LEADER_TABLE, LOADING_KEY, LeaderRow, condition, write
 
 #: Time after which a home that still loads offers its place. 1.7 MB, the rows of all jobs of 140 s
@@ -22,7 +22,7 @@
     incarnation: str
 
 
-class LoadBeat:
+class LoadingHeartbeat:
     """Writes a row beside the home's until closed.
 
     Over a slow link a home loads for seconds. An instance that did not reach it saw a row that
@@ -50,7 +50,7 @@
         self.on_error = on_error
         # Where the store is slow a write takes as long as a reading: more of them would queue in
         # the part, and others look less often, too.
-        period = max(BEAT_S, context.store_health.answer_s)
+        period = max(HEARTBEAT_S, context.store_health.answer_s)
         self._ticker = Ticker(
             clock=context.clock, period=period, call=self._write, on_error=on_error
         )
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -36,7 +36,7 @@
 #: Period of writes without anything to record: they show instances that do not reach the home that
 #: it lives. A take-over waits for two of them, and they cost 7 of the store's 800 calls a second.
 #: Unit: seconds.
-BEAT_S = 0.15
+HEARTBEAT_S = 0.15
 
 #: Jobs in one transaction at the most. A call holds 100 entries; a job that ends takes two, and the
 #: home's row two. In a slow store a transaction takes 0.7 s, and a burst ends 45 jobs a second.
@@ -135,7 +135,7 @@
         while not self.stopped:
             now = self.context.clock.seconds()
             due = self._due()
-            wait = (self._gather_s() if due else BEAT_S) - (now - wrote_at)
+            wait = (self._gather_s() if due else HEARTBEAT_S) - (now - wrote_at)
             if wait <= _TICK_S:
                 wrote_at = now
                 yield self._commit(due)
--- a/anvilflow/cell/_waiting.py
+++ b/anvilflow/cell/_waiting.py
@@ -11,7 +11,7 @@
 from ._tables import CANCEL_MARK, JOBS, JobRow
 
 #: Period in which the home tells what waits, with a beat: after 0.6 s at the latest. Unit: seconds.
-TELL_S = 0.4
+PENDING_HEARTBEAT_S = 0.4
 
 #: Age up to which a count is good for an answer; with the period above it is less than the two
 #: seconds old that callers were promised. Unit: seconds.
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -323,7 +323,7 @@
     """A silent home is replaced well within a lease, and a lease within the worker's maximum."""
     takeover = _leadership.SILENT_S + _leadership.STILL_S + 0.5
     assert takeover + _session.HOLD_WAIT_S < _fleet.LEASE_S
-    assert _recorder.BEAT_S * 2 <= _leadership.STILL_S
+    assert _recorder.HEARTBEAT_S * 2 <= _leadership.STILL_S
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -99,15 +99,15 @@
     cell.store_faults.slow_s = 0.5
     cell.store_faults.only = {name}
     before = cell.store.n_writes
-    beats = _count_beats(cell)
+    heartbeats = _count_heartbeats(cell)
     answers = cell.submit(name, JOB, STEP)
     cell.advance(2.0)
-    n_writes = cell.store.n_writes - before - _count_beats(cell) + beats
+    n_writes = cell.store.n_writes - before - _count_heartbeats(cell) + heartbeats
     assert answers[0][0] == 200
     assert (n_writes == 1) is safeguard
 
 
-def _count_beats(cell):
+def _count_heartbeats(cell):
     return sum(table == "home" for _, _, table, _, _, _ in cell.store.log)
 
 
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from anvilflow.cell import _leader, _leader_state, _leadership, _load_beat
+from anvilflow.cell import _leader, _leader_state, _leadership, _loading_heartbeat
 from anvilflow.cell._leader import LeaderPart
 from anvilflow.cell._links import LinksPart
-from anvilflow.cell._load_beat import LoadBeat
+from anvilflow.cell._loading_heartbeat import LoadingHeartbeat
 from anvilflow.cell._tables import JobRow, job_part
 from anvilflow.jobs import JobSpec, StepSpec
 from anvilflow.standins import _slow_link
@@ -54,7 +54,7 @@
     """
     if not safeguard:
         monkeypatch.setattr(LeaderPart, "is_loading", False)
-        monkeypatch.setattr(LoadBeat, "start", lambda self: None)
+        monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
         cell.wire.slow_link(name, SLOW)
@@ -172,7 +172,7 @@
     """A home that is short of processor writes nothing for a while, and so does each after it."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
-    monkeypatch.setattr(LoadBeat, "start", lambda self: None)
+    monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
     cell, _, term = _home_that_one_instance_does_not_reach()
     cell.advance(8.0)
     assert (len(cell.leaders()) == 1 and _term(cell) <= term + 3) is safeguard
@@ -191,7 +191,7 @@
     full links had no answer within 0.4 s.
     """
     if not safeguard:
-        monkeypatch.setattr(LoadBeat, "start", lambda self: None)
+        monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
     cell, leader, term = _home_that_one_instance_does_not_reach()
     cell.advance(5.0)
@@ -211,7 +211,7 @@
     """
     monkeypatch.setattr(_slow_link, "WINDOW_BYTES", 100)
     if not safeguard:
-        monkeypatch.setattr(LoadBeat, "is_late", False)
+        monkeypatch.setattr(LoadingHeartbeat, "is_late", False)
     cell = _cell_with_many_jobs(5, n_jobs=200)
     former = cell.leader()
     cell.kill(former)
@@ -226,7 +226,7 @@
 def test_home_is_found_where_all_load_for_long(monkeypatch, safeguard):
     """All links are squeezed, and each home needs 25 s; a fixed limit would end them all."""
     if not safeguard:
-        monkeypatch.setattr(_load_beat, "MAX_DOUBLINGS", 0)
+        monkeypatch.setattr(_loading_heartbeat, "MAX_DOUBLINGS", 0)
     cell = _cell_with_many_jobs(5, n_jobs=200)
     former = cell.leader()
     cell.kill(former)
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from anvilflow.cell import CellSettings, ListenSettings, _home_voice, _links, _strength
+from anvilflow.cell import CellSettings, ListenSettings, _leader_heartbeat, _links, _strength
 from anvilflow.cell._strength import in_order, told_cpu_milli
 from anvilflow.peers.gen.ttypes import Hello
 
@@ -103,7 +103,7 @@
     cell = make_cell(n_instances=4, n_workers=12, weak=WEAK)
     assert cell.leader() in WEAK
     cell.start_instance("a4")
-    cell.advance(_home_voice.GIVE_WAY_AFTER_S)
+    cell.advance(_leader_heartbeat.GIVE_WAY_AFTER_S)
     job_ids = _play_burst(cell, call_s={"a4": CALL_S / 8})
     assert (cell.leader() == "a4") is safeguard
     done = {span.task.split(".")[0] for span in cell.spans if span.how == "done"}
--- a/anvilflow/parts/_peers.py
+++ b/anvilflow/parts/_peers.py
@@ -52,7 +52,7 @@
         self._stack.callback(self._drop_all)
         self.on(MembersListed, self._members_listed)
         self.on(DigestReady, self._digest_ready)
-        self.every(context.settings.timing.heartbeat_s, self._beat)
+        self.every(context.settings.timing.heartbeat_s, self._send_heartbeats)
         self.every(context.settings.timing.membership_poll_s, self._dial_missing)
         context.peers = self
 
@@ -96,7 +96,7 @@
             self.context.digests.pop(name, None)
             self.post(PeerDown(instance=name, heard_at=link.heard_at))
 
-    def link_heard(self, link, body):
+    def link_message(self, link, body):
         """A message came in."""
         name = link.peer.instance
         if isinstance(body, Heartbeat):
@@ -126,15 +126,15 @@
         self._open.add(link)
         return link
 
-    def _heartbeat(self, name, beat):
-        if beat.digest is not None:
-            self.context.digests[name] = beat.digest
-        if beat.leaving:
+    def _heartbeat(self, name, heartbeat):
+        if heartbeat.digest is not None:
+            self.context.digests[name] = heartbeat.digest
+        if heartbeat.leaving:
             self.post(PeerLeaving(instance=name))
-        if beat.leaving_workers:
-            self.post(WorkersLeaving(workers=beat.leaving_workers))
-        if beat.revision > self.context.catalog.revision:
-            self.post(RevisionHint(revision=beat.revision))
+        if heartbeat.leaving_workers:
+            self.post(WorkersLeaving(workers=heartbeat.leaving_workers))
+        if heartbeat.revision > self.context.catalog.revision:
+            self.post(RevisionHint(revision=heartbeat.revision))
 
     def _members_listed(self, _, event):
         self._members = [member for member in event.members if member.role == "instance"]
@@ -166,30 +166,30 @@
         self._digest = event.digest
         self.context.digests[self.context.name] = event.digest
 
-    def _beat(self):
+    def _send_heartbeats(self):
         self._sequence += 1
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             sequence=self._sequence,
             revision=self.context.catalog.revision,
             leaving=self.context.leaving,
             digest=self._digest,
             leaving_workers=self._leaving_workers(),
         )
-        is_news = self._is_news(beat)
+        is_news = self._is_news(heartbeat)
         limit = self.now - self.context.settings.timing.suspect_s
         for link in list(self._open):
             if link.heard_at < limit:
                 link.abort()
             elif link.peer is not None and is_news:
-                link.send(beat)
+                link.send(heartbeat)
 
-    def _is_news(self, beat):
+    def _is_news(self, heartbeat):
         """Whether to send the heartbeat: it says something new, or every second one.
 
         A peer that hears half as many heartbeats of an idle instance still hears two or more
         within the suspect time.
         """
-        said = (beat.revision, beat.leaving, beat.digest, beat.leaving_workers)
+        said = (heartbeat.revision, heartbeat.leaving, heartbeat.digest, heartbeat.leaving_workers)
         if said == self._said and self._sequence % _QUIET_BEATS:
             return False
         self._said = said
--- a/anvilflow/peers/_link.py
+++ b/anvilflow/peers/_link.py
@@ -27,7 +27,7 @@
     queue_limit : int
         Messages that wait to be sent at the most.
     events : object
-        Its ``link_up(link)``, ``link_down(link)``, ``link_heard(link, body)`` are called.
+        Its ``link_up(link)``, ``link_down(link)``, ``link_message(link, body)`` are called.
 
     Notes
     -----
@@ -124,7 +124,7 @@
             self.peer = body
             self.events.link_up(self)
         elif self.peer is not None:
-            self.events.link_heard(self, body)
+            self.events.link_message(self, body)
 
     def _schedule(self):
         if self._flush is None and self._queue and not self._paused and not self._closed:
