--- a/anvilflow/cell/_carriers.py
+++ b/anvilflow/cell/_carriers.py
@@ -48,7 +48,7 @@
     def __init__(self, *, context, log):
         self.context = context
         self.log = log
-        self._entries = {}
+        self._gateways = {}
         self._names = ()
         self._names_until = float("-inf")
         self._n_peers = 0
@@ -83,14 +83,14 @@
 
     # Who carries what
 
-    def note_entry(self, job_id, name):
+    def note_gateway(self, job_id, name):
         """Note which instance has a job's payload."""
         if name:
-            self._entries[job_id] = name
+            self._gateways[job_id] = name
 
     def forget_job(self, job_id):
         """Forget a job that has ended."""
-        self._entries.pop(job_id, None)
+        self._gateways.pop(job_id, None)
 
     def for_worker(self, worker_id):
         """Return the instance that holds a worker, or None: the home itself does."""
@@ -105,8 +105,8 @@
     def for_start(self, worker_id, job_id):
         """Return the instance that sends the starts of a job to a worker, or None."""
         names = self._carriers()
-        entry = self._entries.get(job_id)
-        return entry if entry in names else self.for_worker(worker_id)
+        gateway = self._gateways.get(job_id)
+        return gateway if gateway in names else self.for_worker(worker_id)
 
     def _carriers(self):
         if not self.are_used or self.context.links is None:
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -14,7 +14,7 @@
 from ._carrier import CarrierPart
 from ._config import ConfigPart
 from ._context import CellContext, Leaving
-from ._entry import EntryPart
+from ._gateway import GatewayPart
 from ._leader import LeaderPart
 from ._leadership import LeadershipPart
 from ._links import LinksPart
@@ -69,7 +69,7 @@
             ("warm", WarmTablesPart),
             ("home", LeaderPart),
             ("leadership", LeadershipPart),
-            ("entry", EntryPart),
+            ("entry", GatewayPart),
             ("carrier", CarrierPart),
         ):
             self.supervisor.add(name, lambda kind=kind: kind(context=context))
@@ -132,14 +132,14 @@
         A process that ends takes them along: their clients hear nothing, and do not know whether
         their jobs were accepted.
         """
-        entry = self.supervisor.part("entry")
-        if entry is None:
+        gateway = self.supervisor.part("entry")
+        if gateway is None:
             return
-        entry.stop_listening()
+        gateway.stop_listening()
         is_idle = False
         while not is_idle and self.context.clock.seconds() < end_at:
             yield self._sleep_until(min(end_at, self.context.clock.seconds() + LAST_CALLS_S))
-            is_idle = entry.n_in_progress == 0
+            is_idle = gateway.n_in_progress == 0
 
     def _sleep_until(self, at):
         clock = self.context.clock
--- a/anvilflow/cell/_entry.py
+++ b/anvilflow/cell/_gateway.py
@@ -65,7 +65,7 @@
 STATES_KEPT = 2000
 
 
-class EntryPart(Part):
+class GatewayPart(Part):
     """Accepts jobs durably and answers about them."""
 
     prefix = "entry"
@@ -99,7 +99,7 @@
     def start(self):
         """Listen to clients and to the balancer."""
         listen = self.context.settings.listen
-        self.front = FrontResource(entry=self)
+        self.front = FrontResource(gateway=self)
         front = Site(self.front, timeout=60)
         front.log = lambda request: None
         ready = Site(ReadyResource(is_ready=self._is_ready), timeout=60)
@@ -158,8 +158,8 @@
     def submit(self, spec, queue):
         """Accept a job durably; AF302 says it certainly was not, AF305 that it may have been."""
         # The home then sends none of the starts itself, and need not hold the payload.
-        entry = self.context.name if self.context.is_carried else ""
-        value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=entry)
+        gateway = self.context.name if self.context.is_carried else ""
+        value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
             # The store refuses it however often it comes. Taken for a write in doubt, the client
             # was told to send it again, and the instance took the store for away each time.
@@ -185,7 +185,7 @@
             else:
                 self.log.info("job accepted", job=job_id, queue=queue.name, version=version)
                 if version:
-                    if entry:
+                    if gateway:
                         self.context.payloads.keep(job_id, spec.payload)
                         value = without_payload(value)
                     self._notify_leader(value, version)
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -115,7 +115,7 @@
             config_version=value.config_version,
         )
         if added:
-            self.carriers.note_entry(value.spec.job_id, value.entry)
+            self.carriers.note_gateway(value.spec.job_id, value.entry)
             self.log.info(
                 "job taken on",
                 job=value.spec.job_id,
--- a/anvilflow/cell/tests/test_cancel_marks.py
+++ b/anvilflow/cell/tests/test_cancel_marks.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import inlineCallbacks
 
-from anvilflow.cell import _entry, _leader
+from anvilflow.cell import _gateway, _leader
 from anvilflow.cell._job_store import read_stored_job
 from anvilflow.cell._tables import CANCEL_MARK, JOBS, job_part
 from anvilflow.jobs import ENDED_STATES, JobState
@@ -21,7 +21,7 @@
     """
     monkeypatch.setattr(_leader, "JOBS_FEED_S", 4.0)
     if not safeguard:
-        monkeypatch.setattr(_entry, "read_stored_job", _mark_as_end)
+        monkeypatch.setattr(_gateway, "read_stored_job", _mark_as_end)
     cell = make_cell()
     name = cell.other()
     cell.submit(cell.leader(), JOB, STEP, spec="2.0 done 1000")
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import inlineCallbacks, succeed
 
-from anvilflow.cell import _entry, _fleet, _job_intake, _leadership
+from anvilflow.cell import _fleet, _gateway, _job_intake, _leadership
 from anvilflow.cell._context import Claimed
 from anvilflow.cell._session import START_TIMEOUTS_S, WorkerSession
 from anvilflow.exceptions import WorkerRefusedError, WorkerUnreachableError
@@ -245,7 +245,7 @@
     be for nothing: the next home knows of no cancelling.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "cancel_stored_job", lambda store, job_id: succeed(True))
+        monkeypatch.setattr(_gateway, "cancel_stored_job", lambda store, job_id: succeed(True))
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -43,11 +43,11 @@
 
 def _entry_with_payload(cell, step=STEP, **values):
     """Submit a job at an instance that is not the home, and return the instance."""
-    entry = cell.other()
-    answers = cell.submit(entry, JOB, step, **values)
+    gateway = cell.other()
+    answers = cell.submit(gateway, JOB, step, **values)
     cell.advance(0.03)
     assert answers[0][0] == 200
-    return entry
+    return gateway
 
 
 def _done(cell):
@@ -115,21 +115,21 @@
 def test_carrier_is_lost_between_its_order_and_the_start(fault):
     """Starts that it was told of are not lost, and none runs twice."""
     cell = _make_cell(n_workers=3)
-    entry = _entry_with_payload(cell, STEP, spec="0.6 done 1000")
+    gateway = _entry_with_payload(cell, STEP, spec="0.6 done 1000")
     leader = cell.leader()
     match fault:
         case "kill":
-            cell.kill(entry)
+            cell.kill(gateway)
         case "pause":
-            cell.pause(entry)
-            cell.clock.callLater(2.0, cell.resume, entry)
+            cell.pause(gateway)
+            cell.clock.callLater(2.0, cell.resume, gateway)
         case "cut from":
-            cell.network.silence(entry, leader)
+            cell.network.silence(gateway, leader)
         case "cut to":
-            cell.network.silence(leader, entry)
+            cell.network.silence(leader, gateway)
         case "restart":
-            cell.kill(entry)
-            cell.start_instance(entry)
+            cell.kill(gateway)
+            cell.start_instance(gateway)
     cell.advance(8.0)
     assert _done(cell) == _names()
     assert cell.check() == []
@@ -138,10 +138,10 @@
 def test_steps_of_a_job_whose_entry_is_gone_start_from_the_payload_in_the_store():
     """Another instance reads it: the job's row does not hold it, nor does the home."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, SECOND, spec="0.5 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.3)
-    cell.kill(entry)
+    cell.kill(gateway)
     cell.advance(3.0)
     assert _done(cell) == _names(2)
 
@@ -149,11 +149,11 @@
 def test_home_and_carrier_are_lost_together():
     """The next home knows neither the payload nor what was told to the carrier."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, SECOND, spec="0.5 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.04)
     leader = cell.leader()
-    cell.kill(entry)
+    cell.kill(gateway)
     cell.kill(leader)
     cell.advance(9.0)
     assert _done(cell) == _names(2)
@@ -258,8 +258,8 @@
 def test_outcomes_that_are_lost_cost_neither_tasks_nor_a_second_run():
     """The carrier acts and its answers do not reach the home."""
     cell = _make_cell(n_workers=3)
-    entry = _entry_with_payload(cell, spec="0.6 done 1000")
-    cell.network.silence(entry, cell.leader())
+    gateway = _entry_with_payload(cell, spec="0.6 done 1000")
+    cell.network.silence(gateway, cell.leader())
     cell.advance(9.0)
     assert _done(cell) == _names()
     assert cell.check() == []
@@ -330,10 +330,10 @@
 def test_job_that_is_cancelled_while_its_starts_are_on_their_way():
     """A start that a carrier was told of may come after the stop."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, spec="30.0 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, spec="30.0 done 1000")
     cell.advance(0.015)
-    acked_at = cancel(cell, entry)
+    acked_at = cancel(cell, gateway)
     cell.advance(6.0)
     assert find_runs_after_cancelling(cell, acked_at) == []
 
@@ -367,9 +367,9 @@
 def test_orders_of_all_kinds_are_counted_by_route_and_outcome():
     """An operator tells by them whether the home, a carrier or a worker binds."""
     cell = _make_cell()
-    entry = _entry_with_payload(cell, spec="0.5 done 1000")
+    gateway = _entry_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
     routes = cell.daemons[cell.leader()].context.meters.counts
     assert routes["routes", ("START", "carried")] == 4
-    carried = cell.daemons[entry].context.meters.counts
+    carried = cell.daemons[gateway].context.meters.counts
     assert carried["carried", (Verb.START.name, OrderOutcome.DONE.name)] == 4
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -45,13 +45,13 @@
 
 def _submit_for(cell, seconds, rate, submitted):
     """Submit jobs at a rate; note them by their ids."""
-    entries = [name for name in cell.daemons if name != cell.leader()]
+    gateways = [name for name in cell.daemons if name != cell.leader()]
     step = {"count": N_TASKS, "cpu": 500, "estimate-ms": 800}
     for _ in range(round(seconds * rate)):
         number = len(submitted)
         job_id = f"{number:016x}"
-        entry = entries[number % len(entries)]
-        answers = cell.submit(entry, job_id, step, spec="x" * N_PAYLOAD)
+        gateway = gateways[number % len(gateways)]
+        answers = cell.submit(gateway, job_id, step, spec="x" * N_PAYLOAD)
         submitted[job_id] = _Submitted(at=cell.clock.seconds(), answers=answers)
         cell.advance(1 / rate)
 
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -135,9 +135,9 @@
     def _submit(self, job_id):
         # A job that an instance without the store refuses is not there to be cancelled.
         cut_off = self.cell.store_faults.only or ()
-        entry = next(name for name in self.cell.daemons if name not in cut_off)
+        gateway = next(name for name in self.cell.daemons if name not in cut_off)
         step = {"count": self.random_state.choice([1, 6]), "cpu": 1000}
-        self.cell.submit(entry, job_id, step, spec="40.0 done 1000")
+        self.cell.submit(gateway, job_id, step, spec="40.0 done 1000")
 
     def _take_store_away(self, how):
         faults = self.cell.store_faults
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -7,8 +7,8 @@
 from twisted.python.failure import Failure
 
 from anvilflow.cell import (
-    _entry,
     _fleet,
+    _gateway,
     _job_store,
     _leader,
     _leader_calls,
@@ -131,7 +131,7 @@
     """
     cell = make_cell(n_instances=3)
     if not safeguard:
-        monkeypatch.setattr(_entry, "UnknownOutcomeError", _entry.RequestError)
+        monkeypatch.setattr(_gateway, "UnknownOutcomeError", _gateway.RequestError)
     cell.store_faults.late_s = 2.0
     answers = cell.submit(cell.other(), JOB, STEP)
     cell.advance(2.5)
@@ -367,7 +367,7 @@
     """
     if not safeguard:
         monkeypatch.setattr(
-            _entry.EntryPart,
+            _gateway.GatewayPart,
             "_store",
             lambda self, value: _job_store.store_job(self.context.store, value),
         )
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _entry, _leader_calls
+from anvilflow.cell import _gateway, _leader_calls
 from anvilflow.cell._job_store import store_job
 from anvilflow.exceptions import NotFoundError
 from anvilflow.jobs import Scheduler
@@ -32,7 +32,7 @@
     before its row was durable the job would be gone with the memory of the instances.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "store_job_surely", _acknowledge_and_store_later)
+        monkeypatch.setattr(_gateway, "store_job_surely", _acknowledge_and_store_later)
     cell = make_cell()
     _answer(cell, cell.submit(cell.other(), JOB, STEP))
     _lose_power(cell, back)
@@ -110,7 +110,7 @@
     one would deny a queue that is there.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry.EntryPart, "not_ready", _deny)
+        monkeypatch.setattr(_gateway.GatewayPart, "not_ready", _deny)
     cell = make_cell()
     routes = [{"name": "added", "prefix": "/added/", "priority": 0}]
     cell.store.put("op", "config", make_platform_config(7, queues=routes))
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from anvilflow.cell import _entry, _recorder
+from anvilflow.cell import _gateway, _recorder
 from anvilflow.decisions import _send_window
 from anvilflow.jobs._job import JobRun
 from anvilflow.standins import StoreCall
@@ -112,7 +112,7 @@
     again, and its instance took the store for away until its next look.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "MAX_ROW_BYTES", 10_000_000)
+        monkeypatch.setattr(_gateway, "MAX_ROW_BYTES", 10_000_000)
     cell = make_cell()
     _limit_rows(monkeypatch, cell.store)
     steps = [{"count": 1, "cpu": 1000, "mem-mb": 100, "after": [0]} for _ in range(1_400)]
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -4,7 +4,7 @@
 from logbook import TestHandler as LogRecorder
 from twisted.internet.defer import inlineCallbacks
 
-from anvilflow.cell import _entry, _links, _recorder, _store_watch
+from anvilflow.cell import _gateway, _links, _recorder, _store_watch
 from anvilflow.cell._job_store import store_job
 from anvilflow.exceptions import PlatformUnavailableError
 
@@ -93,7 +93,7 @@
     the part that the job lies in, and the store refused what came after.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "store_job_surely", _write_again_and_again)
+        monkeypatch.setattr(_gateway, "store_job_surely", _write_again_and_again)
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.store_faults.slow_s = 0.5
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -34,8 +34,8 @@
     cell = make_cell(n_instances=n_instances, n_workers=6)
     names = list(cell.daemons)
     for number in range(n_jobs):
-        entry = names[number % len(names)]
-        cell.submit(entry, f"{number:016x}", {"count": 4, "cpu": 1}, spec="0.2 done 1")
+        gateway = names[number % len(names)]
+        cell.submit(gateway, f"{number:016x}", {"count": 4, "cpu": 1}, spec="0.2 done 1")
         if number % 10 == 0:
             cell.advance(0.05)
     cell.advance(3.0)
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -61,10 +61,10 @@
         monkeypatch.setattr(Scheduler, "_take_up", lambda self, job, now: [])
     cell = make_cell(n_instances=3, n_workers=3)
     cell.advance(0.5)
-    leader, entry = cell.leader(), cell.other()
+    leader, gateway = cell.leader(), cell.other()
     _wait_for_a_reading_of_jobs(cell)
-    cell.network.silence(entry, leader)
-    cell.submit(entry, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
+    cell.network.silence(gateway, leader)
+    cell.submit(gateway, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(0.05)
     _start_as_a_former_home_did(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
     cell.advance(0.2)
@@ -121,15 +121,15 @@
     _advance_until(cell, lambda: cell.leader() != former)
     cell.worker_faults["i-0"].silent = True
     cell.worker_faults["i-0"].only = set(cell.daemons) - {former}
-    entry = next(name for name in cell.daemons if name not in (former, cell.leader()))
+    gateway = next(name for name in cell.daemons if name not in (former, cell.leader()))
     cell.advance(0.01)
-    cell.submit(entry, JOB, {"count": 8, "cpu": 4000}, spec="2.0 done 4000")
+    cell.submit(gateway, JOB, {"count": 8, "cpu": 4000}, spec="2.0 done 4000")
     cell.advance(3.0)
     cell.worker_faults["i-0"].clear()
     cell.advance(4.0)
     assert "i-0" in {span.worker for span in cell.spans}
     assert (cell.check() == []) is safeguard
-    assert cell.state(entry, JOB) == "completed"
+    assert cell.state(gateway, JOB) == "completed"
 
 
 def _only_what_was_there(self, version):
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_warm_tables.py
@@ -52,14 +52,14 @@
     """Rows that were added, changed and removed since the first reading."""
     cell = make_cell(n_instances=5, n_workers=4, weak=NAMES)
     cell.advance(2.0)
-    entry = cell.other()
+    gateway = cell.other()
     for number in range(12):
         spec = f"{0.2 + number / 3} done 1000"
-        cell.submit(entry, f"{number:016x}", STEP, {**STEP, "after": [0]}, spec=spec)
+        cell.submit(gateway, f"{number:016x}", STEP, {**STEP, "after": [0]}, spec=spec)
         cell.advance(0.2)
-    cell.submit(entry, JOB, STEP, spec="30.0 done 1000")
+    cell.submit(gateway, JOB, STEP, spec="30.0 done 1000")
     cell.advance(0.3)
-    cancel(cell, entry)
+    cancel(cell, gateway)
     cell.store.remove("servers", "i-3")
     cell.advance(2.0)
     context = cell.daemons[_warm(cell)[0]].context
--- a/anvilflow/chaos/_faults.py
+++ b/anvilflow/chaos/_faults.py
@@ -82,7 +82,7 @@
             self._ends.pop(0)[1]()
         self.cell.network.heal()
 
-    def entries(self):
+    def gateways(self):
         """Return the instances to which the balancer sends callers."""
         return [name for name in self.cell.daemons if name not in self._busy]
 
@@ -96,7 +96,7 @@
 
     def _choose(self):
         """Return an instance that nothing happens to yet, when enough others are left."""
-        names = self.entries()
+        names = self.gateways()
         return self.random_state.choice(names) if len(names) > _MIN_INSTANCES else None
 
     def _worker(self):
--- a/anvilflow/chaos/_run.py
+++ b/anvilflow/chaos/_run.py
@@ -79,8 +79,8 @@
         self.plan.end_due()
         self.cell.advance(_STEP_S)
 
-    def _entry(self):
-        return self.random_state.choice(self.plan.entries())
+    def _gateway(self):
+        return self.random_state.choice(self.plan.gateways())
 
     def _request(self):
         choice = self.random_state.random()
@@ -89,10 +89,10 @@
         customer = self.random_state.choice(["small", "large", "large"])
         if choice < 0.5:
             self.operations["idempotent request"] += 1
-            self.cell.request(self._entry(), customer, "lookup", **values)
+            self.cell.request(self._gateway(), customer, "lookup", **values)
         elif choice < 0.8:
             self.operations["non-idempotent request"] += 1
-            self.cell.request(self._entry(), customer, "lookup", idempotent=False, **values)
+            self.cell.request(self._gateway(), customer, "lookup", idempotent=False, **values)
         else:
             self._keyed(customer, values)
 
@@ -101,7 +101,7 @@
         self.operations["keyed request"] += 1
         key = f"k{self.operations['keyed request']}"
         for _ in range(self.random_state.randint(1, 3)):
-            self.cell.request_keyed(self._entry(), customer, "lookup", key, **values)
+            self.cell.request_keyed(self._gateway(), customer, "lookup", key, **values)
 
     def _job(self):
         workload = self.random_state.choice(["refresh", "refresh", "assembly"])
@@ -115,12 +115,12 @@
         customer = self.random_state.choice(["small", "large"])
         job = Job(name=name, customer=customer, workload=workload, tasks=tasks)
         self.jobs.append(job)
-        self.cell.submit(self._entry(), job)
+        self.cell.submit(self._gateway(), job)
 
     def _cancel(self):
         self.operations["cancel"] += 1
         job = self.random_state.choice(self.jobs)
-        done = self.cell.part(self._entry(), "entry").cancel(job.customer, job.name)
+        done = self.cell.part(self._gateway(), "entry").cancel(job.customer, job.name)
         done.addErrback(lambda _: None)
 
     def _change_config(self):
@@ -131,7 +131,7 @@
             customer.priority = priority
             return customer
 
-        resources = self.cell.daemons[self._entry()].context.resources
+        resources = self.cell.daemons[self._gateway()].context.resources
         done = resources.write("Customer/small", None, check=changed)
         done.addCallbacks(self._accepted, lambda _: None)
 
--- a/anvilflow/parts/__init__.py
+++ b/anvilflow/parts/__init__.py
@@ -5,7 +5,7 @@
 from ._config import ConfigPart
 from ._context import Context
 from ._daemon import Daemon, make_daemon
-from ._entry import EntryPart
+from ._gateway import GatewayPart
 from ._home import HomePart, home_key
 from ._members import MembersPart
 from ._operators import OperatorsPart
@@ -18,7 +18,7 @@
     "ConfigPart",
     "Context",
     "Daemon",
-    "EntryPart",
+    "GatewayPart",
     "HomePart",
     "JobCall",
     "MembersPart",
--- a/anvilflow/parts/_daemon.py
+++ b/anvilflow/parts/_daemon.py
@@ -14,8 +14,8 @@
 from ..runtime import Bus, ReactorNetwork, Supervisor
 from ._config import ConfigPart
 from ._context import Context
-from ._entry import EntryPart
 from ._events import LeavingChanged
+from ._gateway import GatewayPart
 from ._home import HomePart
 from ._members import MembersPart
 from ._operators import OperatorsPart
@@ -58,7 +58,7 @@
         self.supervisor.add("owner", lambda: OwnerPart(context=context))
         self.supervisor.add("home", lambda: HomePart(context=context))
         self.supervisor.add("members", lambda: MembersPart(context=context))
-        self.supervisor.add("entry", lambda: EntryPart(context=context))
+        self.supervisor.add("entry", lambda: GatewayPart(context=context))
         self.supervisor.add("operators", lambda: OperatorsPart(context=context, dump_all=self.dump))
         self.supervisor.start()
 
--- a/anvilflow/parts/_entry.py
+++ b/anvilflow/parts/_gateway.py
@@ -68,7 +68,7 @@
         self.answer = Deferred()
 
 
-class EntryPart(Part):
+class GatewayPart(Part):
     """Serves callers.
 
     A request is sent to one owner at a time. The answer is matched by the attempt's identity,
--- a/anvilflow/platform/_front.py
+++ b/anvilflow/platform/_front.py
@@ -37,7 +37,7 @@
 
     Parameters
     ----------
-    entry : object
+    gateway : object
         Offers ``config``, ``closing``, ``submit(spec, queue)``, ``state(queue, job_id)``,
         ``cancel(queue, job_id)`` and ``pending(queue)``, which return Deferreds,
         ``answered(verb, status)``, and ``refused(verb, path, status, error)``.
@@ -49,9 +49,9 @@
 
     isLeaf = True
 
-    def __init__(self, *, entry):
+    def __init__(self, *, gateway):
         super().__init__()
-        self.entry = entry
+        self.gateway = gateway
         self.n_in_progress = 0
         self._verbs = {b"POST": self._submit, b"GET": self._get, b"DELETE": self._cancel}
 
@@ -71,9 +71,9 @@
         return result
 
     def _serve(self, request):
-        config = self.entry.config
+        config = self.gateway.config
         if config is None:
-            return self.entry.not_ready()
+            return self.gateway.not_ready()
         path = request.path.decode("utf-8", "replace")
         queue = config.queue_for(request.getRequestHostname().decode("utf-8", "replace"), path)
         if queue is None:
@@ -85,22 +85,22 @@
 
     def _submit(self, request, queue, job_id):
         _check_job_id(job_id)
-        limit = self.entry.config.limits.max_body_bytes
+        limit = self.gateway.config.limits.max_body_bytes
         body = request.content.read(limit + 1)
         if len(body) > limit:
             raise TooLargeError(f"the body is over {limit} bytes")
-        done = self.entry.submit(decode_job(job_id, queue.name, body), queue)
+        done = self.gateway.submit(decode_job(job_id, queue.name, body), queue)
         return done.addCallback(lambda _: {})
 
     def _get(self, request, queue, job_id):
         if not job_id:
-            return self.entry.pending(queue).addCallback(lambda n_jobs: {"pending": n_jobs})
+            return self.gateway.pending(queue).addCallback(lambda n_jobs: {"pending": n_jobs})
         _check_job_id(job_id)
-        return self.entry.state(queue, job_id).addCallback(lambda state: {"state": str(state)})
+        return self.gateway.state(queue, job_id).addCallback(lambda state: {"state": str(state)})
 
     def _cancel(self, request, queue, job_id):
         _check_job_id(job_id)
-        return self.entry.cancel(queue, job_id).addCallback(lambda _: {})
+        return self.gateway.cancel(queue, job_id).addCallback(lambda _: {})
 
     def _answer(self, value, request, gone):
         self._write(request, gone, 200, value, None)
@@ -112,18 +112,18 @@
             error = AnvilflowError("internal error; see the log")
         retry_after = (error.details or {}).get("retry_after_s")
         verb, path = request.method.decode("latin-1"), request.path.decode("utf-8", "replace")
-        self.entry.refused(verb, path, error.http_status, error)
+        self.gateway.refused(verb, path, error.http_status, error)
         self._write(request, gone, error.http_status, {"error": error.to_dict()}, retry_after)
 
     def _write(self, request, gone, status, value, retry_after):
         if gone:
             return
-        self.entry.answered(request.method.decode("latin-1"), status)
+        self.gateway.answered(request.method.decode("latin-1"), status)
         request.setResponseCode(status)
         request.setHeader(b"content-type", b"application/json")
         if retry_after is not None:
             request.setHeader(b"retry-after", str(max(1, round(retry_after))).encode())
-        if self.entry.closing:
+        if self.gateway.closing:
             # The client's next call goes to another instance.
             request.setHeader(b"connection", b"close")
         body = encode(value)
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -307,9 +307,9 @@
 
     def call(self, instance, method, path, body=b""):
         """Make a client's call; return a list that gets ``(status, value, headers)``."""
-        entry = self.daemons[instance].supervisor.part("entry")
+        gateway = self.daemons[instance].supervisor.part("entry")
         request = FrontCall(method=method, host="desk.example", path=path, body=body)
-        maybeDeferred(entry.front.render, request)
+        maybeDeferred(gateway.front.render, request)
         return request.answers
 
     def submit(self, instance, job_id, *steps, queue="urgent", **values):
--- a/anvilflow/standins/_virtual_cell.py
+++ b/anvilflow/standins/_virtual_cell.py
@@ -196,7 +196,7 @@
         """Return a part of an instance."""
         return self.daemons[instance].supervisor.part(name)
 
-    def request(self, entry, customer, workload, *, seconds=0.01, token=None, **values):
+    def request(self, gateway, customer, workload, *, seconds=0.01, token=None, **values):
         """Send a request to an entry instance; return a list that gets the answer."""
         if token is None:
             self._n_tokens += 1
@@ -207,17 +207,17 @@
         self.history.add(Sent, token=token, idempotent=idempotent)
         answers = []
         self._n_calls += 1
-        call_id = (entry, self._n_calls)
+        call_id = (gateway, self._n_calls)
         self._open[call_id] = token
-        done = maybeDeferred(self.part(entry, "entry").serve, call)
+        done = maybeDeferred(self.part(gateway, "entry").serve, call)
         done.addErrback(_refused)
         done.addCallback(self._answered, call_id, answers)
         return answers
 
-    def request_keyed(self, entry, customer, workload, key, **values):
+    def request_keyed(self, gateway, customer, workload, key, **values):
         """Send a non-idempotent request with a key; its token is the key."""
         return self.request(
-            entry,
+            gateway,
             customer,
             workload,
             token=key,
@@ -226,10 +226,10 @@
             **values,
         )
 
-    def submit(self, entry, job):
+    def submit(self, gateway, job):
         """Submit a job at an entry instance; return a list that gets the answer or the error."""
         answers = []
-        self.part(entry, "entry").submit(job).addBoth(answers.append)
+        self.part(gateway, "entry").submit(job).addBoth(answers.append)
         return answers
 
     def job(self, customer, name):
--- a/benchmarks/bench_cell.py
+++ b/benchmarks/bench_cell.py
@@ -32,9 +32,9 @@
     accepted = {}
     for number in range(JOBS_PER_S * SECONDS):
         job_id = f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
-        entry = f"a{number % 9}"
+        gateway = f"a{number % 9}"
         body = make_job_body(*STEPS, spec="0.8 done 1300")
-        cell.call(entry, "POST", f"/urgent/{job_id}", body)
+        cell.call(gateway, "POST", f"/urgent/{job_id}", body)
         accepted[job_id] = cell.clock.seconds()
         cell.advance(1 / JOBS_PER_S)
     cell.advance(5.0)
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -66,8 +66,8 @@
 def _submit(cell, number):
     """Submit a job at an instance that is not the home, if there is one."""
     leader = cell.leader()
-    entries = [name for name in cell.daemons if name != leader] or [leader]
-    name = entries[number % len(entries)]
+    gateways = [name for name in cell.daemons if name != leader] or [leader]
+    name = gateways[number % len(gateways)]
     job_id = f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
     # The estimate keeps jobs from being refused for beginning late.
     step = {"count": N_TASKS, "cpu": 1000, "estimate-ms": 60_000}
