--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -233,14 +233,14 @@
 
     # Workers
 
-    def take_entry(self, row):
+    def take_registry_entry(self, row):
         """Take a row of the registry: a worker is new, says something new of itself, or is gone."""
         if row.value is None:
-            self.entry_gone(row.key)
+            self.registry_entry_removed(row.key)
             return
         info = self._registry.read(row)
         if info is None:
-            self._entry_unlisted(row.key)
+            self._registry_entry_unlisted(row.key)
             return
         self._unlisted.pop(info.worker_id, None)
         if self.scheduler.worker_listed(info, self._now()):
@@ -257,7 +257,7 @@
         if info.worker_id not in self.scheduler.workers:
             self.scheduler.worker_listed(info, self._now())
             self._open_session(info)
-            self.entry_gone(info.worker_id)
+            self.registry_entry_removed(info.worker_id)
         if handover.runs is not None:
             self.scheduler.take_on_unheard(info.worker_id, handover.runs, self._now())
             fresh = [handover.runs[index] for index in handover.fresh]
@@ -271,14 +271,14 @@
     def read_again(self):
         """Look again at entries that named no worker: the configuration has changed."""
         for row in self._registry.rows_aside:
-            self.take_entry(row)
+            self.take_registry_entry(row)
 
-    def entry_gone(self, worker_id):
+    def registry_entry_removed(self, worker_id):
         """A worker is no longer registered."""
         self._registry.removed(worker_id)
-        self._entry_unlisted(worker_id)
+        self._registry_entry_unlisted(worker_id)
 
-    def _entry_unlisted(self, worker_id):
+    def _registry_entry_unlisted(self, worker_id):
         """Give a worker no new work: its entry is gone, or names no worker any more.
 
         What runs there is held on. The home's row names it for the next home, as it does workers
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -195,7 +195,7 @@
         )
         self.act(self._intake.take_over(state))
         for row in state.workers:
-            self._fleet.take_entry(row)
+            self._fleet.take_registry_entry(row)
         for handover in claimed.former.handover if claimed.former is not None else ():
             self._fleet.take_handover(handover)
         self._loaded = True
@@ -356,11 +356,11 @@
     def _take_workers(self, rows, is_whole, version, _):
         self._scheduler.registry_version = version
         for row in rows:
-            self._fleet.take_entry(row)
+            self._fleet.take_registry_entry(row)
         if is_whole:
             names = {row.key for row in rows}
             for worker_id in set(self._scheduler.workers) - names:
-                self._fleet.entry_gone(worker_id)
+                self._fleet.registry_entry_removed(worker_id)
         self.changed()
 
     def add_job(self, value, version):
--- a/anvilflow/cell/_leader_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -10,7 +10,7 @@
 from ..platform import REGISTRY_TABLE, Row
 from ._fleet import LEASE_S
 from ._job_store import gather, join_parts
-from ._registry import names_worker
+from ._registry import is_worker_entry
 from ._tables import ENDED, JOB_PARTS, JOBS, PART, PROGRESS
 
 #: Readings of one table or part under way at the same time. Where the store is slow each takes a
@@ -107,7 +107,7 @@
     # After the reading: a worker that leaves between the two is in one of them.
     missing = yield find_missing(store, former, config)
     if missing is not None:
-        missing -= {row.key for row in workers if names_worker(row, config)}
+        missing -= {row.key for row in workers if is_worker_entry(row, config)}
     return workers, version, missing
 
 
@@ -130,7 +130,7 @@
         return None
     missing = set(former.missing)
     for row in rows:
-        if names_worker(row, config):
+        if is_worker_entry(row, config):
             missing.discard(row.key)
         else:
             missing.add(row.key)
--- a/anvilflow/cell/_registry.py
+++ b/anvilflow/cell/_registry.py
@@ -4,7 +4,7 @@
 from ..platform import decode_worker
 
 
-def names_worker(row, config):
+def is_worker_entry(row, config):
     """Whether an entry can be read and is of a service that is configured.
 
     Parameters
--- a/anvilflow/cell/_warm_tables.py
+++ b/anvilflow/cell/_warm_tables.py
@@ -7,7 +7,7 @@
 from ..runtime import Part
 from ._job_store import read_jobs
 from ._leader_state import StoredState, find_missing, gather, readings_at_once
-from ._registry import names_worker
+from ._registry import is_worker_entry
 from ._strength import is_fit
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
@@ -166,7 +166,7 @@
         rows = {name: list(table.rows.values()) for name, table in self._tables.items()}
         workers = rows[REGISTRY_TABLE]
         if missing is not None:
-            missing -= {row.key for row in workers if names_worker(row, config)}
+            missing -= {row.key for row in workers if is_worker_entry(row, config)}
         return StoredState(
             jobs=rows[JOBS],
             jobs_version=self._tables[JOBS].version,
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -150,7 +150,7 @@
     would run until its lease lapses.
     """
     if not safeguard:
-        monkeypatch.setattr(_fleet.Fleet, "entry_gone", _fleet.Fleet.worker_gone)
+        monkeypatch.setattr(_fleet.Fleet, "registry_entry_removed", _fleet.Fleet.worker_gone)
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_registry.py
+++ b/anvilflow/cell/tests/test_registry.py
@@ -101,7 +101,7 @@
     """
     if not safeguard:
         monkeypatch.setattr(
-            _leader_state, "names_worker", lambda row, config: row.value is not None
+            _leader_state, "is_worker_entry", lambda row, config: row.value is not None
         )
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit(cell.other(), JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
