--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -82,7 +82,7 @@
 
     Notes
     -----
-    `successors` are the instances that come next as the home, in their order. `is_carried` tells
+    `successors` are the instances that come next as the home, in their order. `uses_relays` tells
     whether the home has its orders to workers carried out by other instances, as far as this one
     knows.
     """
@@ -123,12 +123,12 @@
         self.start_waits = StartWaits(clock=clock)
         self.payloads = Payloads(context=self)
         self.link_use = LinkUse(settings=lambda: self.settings, count=self._count_bytes)
-        self.is_carried = False
+        self.uses_relays = False
         self.meters = Meters()
         self.dump = dict
         self._count_call_bytes = count_bytes
         self.links = None
-        self.carrier = None
+        self.relay = None
         self.warm_tables = None
         self.successors = ()
         self.leader = None
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -11,7 +11,6 @@
 from ..exceptions import SettingsError
 from ..platform import AdviceClient, StoreClient, WorkerCalls
 from ..runtime import Bus, ReactorNetwork, Supervisor, use_steady_clock
-from ._carrier import CarrierPart
 from ._config import ConfigPart
 from ._context import CellContext, Leaving
 from ._gateway import GatewayPart
@@ -19,6 +18,7 @@
 from ._leadership import LeadershipPart
 from ._links import LinksPart
 from ._observer import ObserverPart
+from ._relay import RelayPart
 from ._store_watch import StoreWatchPart
 from ._warm_tables import WarmTablesPart
 
@@ -70,7 +70,7 @@
             ("home", LeaderPart),
             ("leadership", LeadershipPart),
             ("entry", GatewayPart),
-            ("carrier", CarrierPart),
+            ("carrier", RelayPart),
         ):
             self.supervisor.add(name, lambda kind=kind: kind(context=context))
 
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -4,9 +4,9 @@
 from ..exceptions import PayloadGoneError
 from ..jobs import ORDER_S
 from ._registry import Registry
-from ._routed_calls import RoutedCalls
 from ._session import HOLD_WAIT_S, WorkerSession
 from ._start_queue import StartQueue
+from ._worker_call_router import WorkerCallRouter
 
 #: Length of the leases that are sent. Renewals come each half second; a take-over from a home that
 #: fell silent takes about 1 s, a start of all instances after a loss of power 2 s. A longer lease
@@ -57,18 +57,18 @@
     log : Logger
     scheduler : Scheduler
     token : int
-    carriers : Carriers
+    relay_dispatcher : RelayDispatcher
     events : object
         Hears what follows: ``act(actions)``, ``changed()``, ``ends_told()``, ``deposed()``,
         ``fail_with(failure)``.
     """
 
-    def __init__(self, *, context, log, scheduler, token, carriers, events):
+    def __init__(self, *, context, log, scheduler, token, relay_dispatcher, events):
         self.context = context
         self.log = log
         self.scheduler = scheduler
         self.token = token
-        self.carriers = carriers
+        self.relay_dispatcher = relay_dispatcher
         self.events = events
         self.closed = False
         self.confirmed_at = context.clock.seconds()
@@ -156,7 +156,7 @@
             task=action.task,
             run=action.run_id,
             worker=action.worker_id,
-            carrier=self.carriers.for_start(action.worker_id, job_id),
+            carrier=self.relay_dispatcher.for_start(action.worker_id, job_id),
         )
         self.scheduler.start_sent(action.worker_id, action.task, action.run_id)
         session = self._sessions.get(action.worker_id)
@@ -295,10 +295,10 @@
         before = self._sessions.pop(info.worker_id, None)
         if before is not None:
             before.close()
-        calls = RoutedCalls(
+        calls = WorkerCallRouter(
             direct=self.context.make_worker(info, self.token),
             info=info,
-            carriers=self.carriers,
+            relay_dispatcher=self.relay_dispatcher,
             context=self.context,
         )
         session = WorkerSession(clock=self.context.clock, calls=calls, lease_s=LEASE_S, fleet=self)
--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -158,7 +158,7 @@
     def submit(self, spec, queue):
         """Accept a job durably; AF302 says it certainly was not, AF305 that it may have been."""
         # The home then sends none of the starts itself, and need not hold the payload.
-        gateway = self.context.name if self.context.is_carried else ""
+        gateway = self.context.name if self.context.uses_relays else ""
         value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
             # The store refuses it however often it comes. Taken for a write in doubt, the client
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -15,16 +15,16 @@
     log : Logger
     scheduler : Scheduler
     janitor : Janitor
-    carriers : Carriers
+    relay_dispatcher : RelayDispatcher
         Hears which instance has the payload of a job.
     """
 
-    def __init__(self, *, context, log, scheduler, janitor, carriers):
+    def __init__(self, *, context, log, scheduler, janitor, relay_dispatcher):
         self.context = context
         self.log = log
         self.scheduler = scheduler
         self.janitor = janitor
-        self.carriers = carriers
+        self.relay_dispatcher = relay_dispatcher
         self._version = 0
         self._unreadable_job_ids = set()
 
@@ -115,7 +115,7 @@
             config_version=value.config_version,
         )
         if added:
-            self.carriers.note_gateway(value.spec.job_id, value.entry)
+            self.relay_dispatcher.note_gateway(value.spec.job_id, value.entry)
             self.log.info(
                 "job taken on",
                 job=value.spec.job_id,
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -16,7 +16,6 @@
 from ..runtime import Part
 from ..utils import jitter, to_builtins
 from ._advisers import Advisers
-from ._carriers import Carriers
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
@@ -28,6 +27,7 @@
 from ._leader_state import make_scheduler, read_state, readings_at_once
 from ._loading_heartbeat import LoadingHeartbeat
 from ._recorder import Recorder
+from ._relay_dispatcher import RelayDispatcher
 from ._tables import JOBS
 from ._waiting import Waiting
 
@@ -69,7 +69,7 @@
         self._scheduler = None
         self._recorder = None
         self._advisers = None
-        self._carriers = None
+        self._relay_dispatcher = None
         self._fleet = None
         self._followers = []
         self._calls = None
@@ -160,14 +160,14 @@
             scheduler.configure(self.context.config)
         self._scheduler = scheduler
         self._advisers = Advisers(context=self.context)
-        self._carriers = Carriers(context=self.context, log=self.log)
+        self._relay_dispatcher = RelayDispatcher(context=self.context, log=self.log)
         self._janitor = Janitor(context=self.context, on_removed=scheduler.forget_ended)
         self._fleet = Fleet(
             context=self.context,
             log=self.log,
             scheduler=scheduler,
             token=claimed.token,
-            carriers=self._carriers,
+            relay_dispatcher=self._relay_dispatcher,
             events=self,
         )
         self._recorder = Recorder(
@@ -191,7 +191,7 @@
             log=self.log,
             scheduler=scheduler,
             janitor=self._janitor,
-            carriers=self._carriers,
+            relay_dispatcher=self._relay_dispatcher,
         )
         self.act(self._intake.take_over(state))
         for row in state.workers:
@@ -260,7 +260,7 @@
         if self._recorder is not None:
             self._recorder.close()
         self._recorder = self._scheduler = self._janitor = self._fleet = self._intake = None
-        self._carriers = None
+        self._relay_dispatcher = None
         if self._calls is not None:
             self._calls.close()
         self._calls = None
@@ -275,9 +275,9 @@
 
     def measure_load(self):
         """Note whether this instance is short of link or processor, as the home."""
-        if self._carriers is not None:
-            self._carriers.measure()
-            self.context.is_carried = self._carriers.are_used
+        if self._relay_dispatcher is not None:
+            self._relay_dispatcher.measure()
+            self.context.uses_relays = self._relay_dispatcher.are_used
 
     def heartbeat(self):
         """Return what the home says of itself and of what waits."""
@@ -380,7 +380,7 @@
         A home that is short of processor plans once for what changes in some turns.
         """
         if self._planned is None and self._scheduler is not None:
-            self._planned = self.later(SHORT_PLAN_S if self.context.is_carried else 0, self._plan)
+            self._planned = self.later(SHORT_PLAN_S if self.context.uses_relays else 0, self._plan)
 
     def _plan(self):
         self._planned = None
@@ -472,6 +472,6 @@
         for job in ended:
             self._janitor.add(job.job_id, self.context.wall_clock())
             self._janitor.shorten(job)
-            self._carriers.forget_job(job.job_id)
+            self._relay_dispatcher.forget_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -38,7 +38,7 @@
             successors=links.successors if links is not None else [],
             addresses=links.successor_addresses if links is not None else [],
             lag_ms=round(1000 * self.context.lag.lag_s),
-            carried=self.context.is_carried,
+            carried=self.context.uses_relays,
             sent_ms=round(1000 * self.context.clock.seconds()),
         )
 
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -117,7 +117,7 @@
         if heartbeat.yielding and not self._yielding:
             self.log.info("home yields", home=source, term=heartbeat.term)
         self._yielding = heartbeat.yielding
-        self.context.is_carried = bool(heartbeat.carried)
+        self.context.uses_relays = bool(heartbeat.carried)
         if heartbeat.waiting is not None:
             waiting = Waiting(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
             self.context.waiting.told(waiting)
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -249,16 +249,16 @@
                 if asked is not None:
                     asked.callback(LeaderReply(link=link, heartbeat=body))
                 elif link is self.leader_link:
-                    if body.sent_ms is not None and self.context.carrier is not None:
-                        self.context.carrier.heard(link, body.sent_ms)
+                    if body.sent_ms is not None and self.context.relay is not None:
+                        self.context.relay.heard(link, body.sent_ms)
                     self.context.bus.post(body, source=link.peer.instance)
             case JobCall():
                 self._serve_job(link, body)
             case AdviceCall():
                 self._serve_advice(link, body)
             case WorkerOrder():
-                if self.context.carrier is not None:
-                    self.context.carrier.serve(link, body)
+                if self.context.relay is not None:
+                    self.context.relay.serve(link, body)
 
     # Calls
 
@@ -277,7 +277,7 @@
             return fail(NotReadyError(f"{instance} is not connected"))
         return self._call(link, AdviceCall, timeout, values)
 
-    def ask_carrier(self, instance, timeout, **values):
+    def call_relay(self, instance, timeout, **values):
         """Make a :class:`WorkerOrder` to an instance that is connected here."""
         link = self.peers.get(instance)
         if link is None:
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -146,7 +146,7 @@
         """Return the least time between two transactions. Unit: seconds."""
         if self.context.leaving:
             return LEAVING_GATHER_S
-        return SHORT_GATHER_S if self.context.is_carried else GATHER_S
+        return SHORT_GATHER_S if self.context.uses_relays else GATHER_S
 
     def _sleep(self, delay):
         clock = self.context.clock
--- a/anvilflow/cell/_carrier.py
+++ b/anvilflow/cell/_relay.py
@@ -27,14 +27,14 @@
 MAX_WORKERS = 4_096
 
 
-class WorkerPlace(Struct, kw_only=True):
+class WorkerEndpoint(Struct, kw_only=True):
     """Where a worker is."""
 
     worker_id: str
     address: str
 
 
-class CarrierPart(Part):
+class RelayPart(Part):
     """Carries out the orders of the home to workers, each at once or not at all.
 
     Notes
@@ -56,11 +56,11 @@
 
     def start(self):
         """Take orders."""
-        self.context.carrier = self
+        self.context.relay = self
 
     def stop(self):
         """Take no more."""
-        self.context.carrier = None
+        self.context.relay = None
         super().stop()
 
     def serve(self, link, order):
@@ -168,7 +168,7 @@
         key = (order.worker, order.address)
         calls = self._calls.get(key)
         if calls is None or calls.token != order.token:
-            place = WorkerPlace(worker_id=order.worker, address=order.address)
+            place = WorkerEndpoint(worker_id=order.worker, address=order.address)
             calls = self._calls[key] = self.context.make_worker(place, order.token)
         self._calls.move_to_end(key)
         while len(self._calls) > MAX_WORKERS:
--- a/anvilflow/cell/_carriers.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -26,7 +26,7 @@
 NAMES_KEPT_S = 0.1
 
 
-class Carriers:
+class RelayDispatcher:
     """Chooses an instance for each order, and has the order carried out there.
 
     Starts go to the instance that accepted the job, which has its payload; what else goes to a
@@ -94,7 +94,7 @@
 
     def for_worker(self, worker_id):
         """Return the instance that holds a worker, or None: the home itself does."""
-        names = self._carriers()
+        names = self._relay_names()
         if not names:
             return None
         holder = self._holders.get(worker_id)
@@ -104,11 +104,11 @@
 
     def for_start(self, worker_id, job_id):
         """Return the instance that sends the starts of a job to a worker, or None."""
-        names = self._carriers()
+        names = self._relay_names()
         gateway = self._gateways.get(job_id)
         return gateway if gateway in names else self.for_worker(worker_id)
 
-    def _carriers(self):
+    def _relay_names(self):
         if not self.are_used or self.context.links is None:
             return ()
         now = self.context.clock.seconds()
@@ -155,7 +155,7 @@
         PeerSilentError
             AF502, it may be carried out.
         """
-        done = self.context.links.ask_carrier(
+        done = self.context.links.call_relay(
             name,
             limit_s + held_s + HOP_S,
             verb=verb,
--- a/anvilflow/cell/_routed_calls.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -20,7 +20,7 @@
 )
 
 #: Other instances that are tried for an order before the home makes the call itself.
-MAX_CARRIERS = 2
+MAX_RELAYS = 2
 
 #: Labels of who makes a call.
 _DIRECT = "direct"
@@ -54,10 +54,10 @@
     limit_s: float
     held_s: float
     values: dict
-    n_left: int = MAX_CARRIERS
+    n_left: int = MAX_RELAYS
 
 
-class RoutedCalls:
+class WorkerCallRouter:
     """The interface of :class:`WorkerCalls`, with a choice of who makes each call.
 
     Parameters
@@ -65,7 +65,7 @@
     direct : WorkerCalls
         Of the home itself.
     info : WorkerInfo
-    carriers : Carriers
+    relay_dispatcher : RelayDispatcher
     context : CellContext
 
     Notes
@@ -76,12 +76,12 @@
     work, and is left to the session's own retries.
     """
 
-    def __init__(self, *, direct, info, carriers, context):
+    def __init__(self, *, direct, info, relay_dispatcher, context):
         self.direct = direct
         self.worker_id = info.worker_id
         self.timeout = direct.timeout
         self._address = info.address
-        self._carriers = carriers
+        self._relay_dispatcher = relay_dispatcher
         self._context = context
 
     def hold(self, *, seen, until_s, wait_s, timeout=None):
@@ -114,7 +114,7 @@
                 "ticket": action.ticket or None,
             },
         )
-        order.choose = lambda: self._carriers.for_start(self.worker_id, job_id)
+        order.choose = lambda: self._relay_dispatcher.for_start(self.worker_id, job_id)
         return self._send(order)
 
     def stop(self, action, *, timeout=None):
@@ -155,7 +155,7 @@
         )
 
     def _choose_holder(self):
-        return self._carriers.for_worker(self.worker_id)
+        return self._relay_dispatcher.for_worker(self.worker_id)
 
     def _start_directly(self, action, job_id, until_s, timeout):
         if has_payload(action):
@@ -178,7 +178,7 @@
             return order.direct()
         order.n_left -= 1
         self._count(order, _CARRIED)
-        done = self._carriers.ask(
+        done = self._relay_dispatcher.ask(
             name,
             order.verb,
             order.limit_s,
@@ -197,17 +197,17 @@
             case OrderOutcome.DONE:
                 return order.convert(answer)
             case OrderOutcome.NOT_SENT:
-                self._carriers.not_sent(name, answer.reason)
+                self._relay_dispatcher.not_sent(name, answer.reason)
                 return self._send(order)
             case OrderOutcome.UNANSWERED if order.verb is Verb.HOLD:
                 self._count(order, _DIRECT)
                 # The worker has held its answer back already, if it was reached.
-                return order.direct(0.0).addCallback(self._carrier_was_cut_off, name)
+                return order.direct(0.0).addCallback(self._relay_was_cut_off, name)
             case _:
                 return raise_failed(answer)
 
-    def _carrier_was_cut_off(self, report, name):
-        self._carriers.rest(name, "does not reach a worker")
+    def _relay_was_cut_off(self, report, name):
+        self._relay_dispatcher.rest(name, "does not reach a worker")
         return report
 
     def _unanswered(self, failure, order):
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -2,12 +2,12 @@
 
 import pytest
 
-from anvilflow.cell._carriers import BUSY_SHARE, Carriers
 from anvilflow.cell._link_use import LinkUse
 from anvilflow.cell._payloads import Payloads
-from anvilflow.cell._routed_calls import RoutedCalls
+from anvilflow.cell._relay_dispatcher import BUSY_SHARE, RelayDispatcher
 from anvilflow.cell._strength import HOME_LINK_MBPS
 from anvilflow.cell._tables import job_part
+from anvilflow.cell._worker_call_router import WorkerCallRouter
 from anvilflow.cell._worker_orders import (
     OrderOutcome,
     Verb,
@@ -62,7 +62,7 @@
 def test_home_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
     """Its link and its processor bound the starts of the whole cell."""
     if not safeguard:
-        monkeypatch.setattr(Carriers, "are_used", False)
+        monkeypatch.setattr(RelayDispatcher, "are_used", False)
     cell = _make_cell()
     before = _n_calls_to_workers(cell, cell.leader())
     _entry_with_payload(cell, spec="0.5 done 1000")
@@ -95,7 +95,7 @@
     )
     cell.advance(3.0)
     is_busy = bytes_per_s >= BUSY_SHARE * HOME_LINK_MBPS * BYTES_PER_MBIT
-    assert context.is_carried is is_busy
+    assert context.uses_relays is is_busy
 
 
 def test_row_of_a_job_leaves_out_its_payload_and_both_end_together():
@@ -166,13 +166,13 @@
     if not safeguard:
         monkeypatch.setattr(MessageAge, "note", lambda self, sent_at, received_at: 0.0)
     cell = _make_cell(n_workers=1)
-    carrier = cell.other()
-    cell.pause(carrier)
+    relay = cell.other()
+    cell.pause(relay)
     cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
-    link = cell.daemons[cell.leader()].context.links.peers[carrier]
+    link = cell.daemons[cell.leader()].context.links.peers[relay]
     link.send(_order(cell, sent_ms=round(1000 * cell.clock.seconds())))
     cell.advance(1.0)
-    cell.resume(carrier)
+    cell.resume(relay)
     cell.advance(0.1)
     assert cell.runs_of(f"{JOB}.9.9.9") is not safeguard
 
@@ -199,15 +199,15 @@
 def test_order_of_a_former_home_is_not_carried_out(monkeypatch, safeguard):
     """Workers that the next home has not reached yet would take it."""
     cell = _make_cell()
-    carrier = cell.other()
+    relay = cell.other()
     _entry_with_payload(cell, spec="0.3 done 1000")
     cell.advance(1.0)
-    context = cell.daemons[carrier].context
+    context = cell.daemons[relay].context
     if not safeguard:
-        context.carrier._token = 0
+        context.relay._token = 0
         monkeypatch.setattr(cell.workers["i-0"], "token", 0)
     order = _order(cell, token=1)
-    context.carrier.serve(context.links.leader_link, order)
+    context.relay.serve(context.links.leader_link, order)
     cell.advance(0.1)
     assert (not cell.runs_of(order.task)) is safeguard
 
@@ -215,11 +215,11 @@
 def test_order_from_an_instance_that_is_not_the_home_is_not_carried_out():
     """A former home that has not noticed is connected for a while."""
     cell = _make_cell()
-    carrier = cell.other()
-    context = cell.daemons[carrier].context
+    relay = cell.other()
+    context = cell.daemons[relay].context
     context.payloads.keep(JOB, "0.3 done 1000")
-    other = cell.daemons[cell.leader()].context.links.peers[carrier]
-    context.carrier.serve(other, _order(cell))
+    other = cell.daemons[cell.leader()].context.links.peers[relay]
+    context.relay.serve(other, _order(cell))
     cell.advance(0.1)
     assert not cell.runs_of(f"{JOB}.9.9.9")
 
@@ -231,7 +231,7 @@
     context = cell.daemons[cell.other()].context
     order = _order(cell, **values)
     assert find_flaw(order)
-    context.carrier.serve(context.links.leader_link, order)
+    context.relay.serve(context.links.leader_link, order)
     assert context.meters.counts["malformed_messages", ()] == 1
 
 
@@ -250,7 +250,7 @@
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
     for _ in range(2):
-        context.carrier.serve(context.links.leader_link, _order(cell))
+        context.relay.serve(context.links.leader_link, _order(cell))
     cell.advance(0.1)
     assert len(cell.runs_of(f"{JOB}.9.9.9")) == 1
 
@@ -300,7 +300,7 @@
 def test_carrier_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
     """Its share of the workers would get no work, and what runs there would be started again."""
     if not safeguard:
-        monkeypatch.setattr(RoutedCalls, "_answered", _believe_carrier)
+        monkeypatch.setattr(WorkerCallRouter, "_answered", _believe_carrier)
     cell = _make_cell(n_workers=8)
     for number in range(12):
         cell.submit(cell.leader(), f"{number:016x}", STEP, spec="6.0 done 1000")
@@ -342,9 +342,9 @@
     """In a rolling restart the home may not know rows without a payload."""
     cell = _make_cell()
     for daemon in cell.daemons.values():
-        monkeypatch.setattr(daemon.context, "is_carried", False)
+        monkeypatch.setattr(daemon.context, "uses_relays", False)
     cell.submit(cell.other(), JOB, STEP, spec="0.5 done 1000")
-    assert cell.daemons[cell.other()].context.is_carried is False
+    assert cell.daemons[cell.other()].context.uses_relays is False
     cell.advance(2.0)
     assert cell.store.value("jobs", JOB, part=job_part(JOB))["spec"]["payload"]
     assert _done(cell) == _names()
@@ -353,14 +353,14 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_drawn_days_with_carriers(monkeypatch, seed):
     """Cancelled jobs, orders that go astray, homes and workers that are lost, as without them."""
-    monkeypatch.setattr(Carriers, "are_used", True)
+    monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert DrawnDay(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_drawn_crashes_with_carriers(monkeypatch, seed):
     """Tasks that crash workers are counted as without them."""
-    monkeypatch.setattr(Carriers, "are_used", True)
+    monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert CrashScenario(seed=seed).play() == []
 
 
