--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -2,7 +2,7 @@
 
 from ..decisions import RetryBudget, RoundTrip, RoundTripSettings
 from ..exceptions import PayloadGoneError
-from ..jobs import ORDER_S
+from ..jobs import COMMAND_S
 from ._registry import Registry
 from ._session import HOLD_WAIT_S, WorkerSession
 from ._start_queue import StartQueue
@@ -85,7 +85,7 @@
             scheduler=scheduler,
             send=self._send_start,
             drop=self._drop_start,
-            may_order=self.may_order,
+            may_send_commands=self.may_send_commands,
         )
 
     def close(self):
@@ -111,9 +111,9 @@
 
     def is_confirmed(self):
         """Whether the store has shown a moment ago that this is the home."""
-        return self._now() - self.confirmed_at <= ORDER_S
+        return self._now() - self.confirmed_at <= COMMAND_S
 
-    def may_order(self):
+    def may_send_commands(self):
         """Whether starts and leases may be sent.
 
         A home that was paused or is cut off must not prolong leases whose end another home waits
@@ -122,7 +122,7 @@
         if self.is_confirmed():
             return True
         now = self._now()
-        n_heard = sum(now - at <= ORDER_S for at in self._heard_at.values())
+        n_heard = sum(now - at <= COMMAND_S for at in self._heard_at.values())
         return 2 * n_heard > len(self.scheduler.workers)
 
     def hold_wait(self):
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -385,7 +385,7 @@
     def _plan(self):
         self._planned = None
         scheduler = self._scheduler
-        if scheduler is None or not self._loaded or not self._fleet.may_order():
+        if scheduler is None or not self._loaded or not self._fleet.may_send_commands():
             return
         scheduler.is_store_away = self.is_store_away
         scheduler.n_advisers = self._advisers.n_advisers
--- a/anvilflow/cell/_relay.py
+++ b/anvilflow/cell/_relay.py
@@ -9,10 +9,10 @@
 from ..jobs import SetPace, StartRun, StopRun
 from ..peers.gen.ttypes import WorkerAnswer
 from ..runtime import Part
-from ._worker_orders import (
+from ._worker_commands import (
     LATE,
     LEAVING,
-    OrderOutcome,
+    CommandOutcome,
     Verb,
     answer_of_error,
     answer_of_report,
@@ -63,27 +63,27 @@
         self.context.relay = None
         super().stop()
 
-    def serve(self, link, order):
+    def serve(self, link, command):
         """Carry out a :class:`WorkerOrder` that came over `link`, and answer over it."""
-        flaw = find_flaw(order)
+        flaw = find_flaw(command)
         if flaw is not None:
             self.context.meters.count("malformed_messages")
             self.log.warning("order not understood", home=link.peer.instance, error=flaw)
             return
-        give_up_at = self.now - self.heard(link, order.sent_ms) + order.limit_ms / 1000
-        refusal = self._refusal(link, order, give_up_at)
+        give_up_at = self.now - self.heard(link, command.sent_ms) + command.limit_ms / 1000
+        refusal = self._refusal(link, command, give_up_at)
         if refusal is not None:
-            self._answer(_not_sent(refusal), link, order)
+            self._answer(_not_sent(refusal), link, command)
             return
-        self._token = order.token
-        if order.verb == Verb.START:
-            job_id = order.task.partition(".")[0]
+        self._token = command.token
+        if command.verb == Verb.START:
+            job_id = command.task.partition(".")[0]
             done = self.context.payloads.find(job_id)
-            done.addCallback(self._start, link, order, give_up_at)
+            done.addCallback(self._start, link, command, give_up_at)
         else:
-            done = self._call(order)
+            done = self._call(command)
         done.addErrback(_failed)
-        done.addCallback(self._answer, link, order)
+        done.addCallback(self._answer, link, command)
         done.addErrback(self.fail_with)
 
     def heard(self, link, sent_ms):
@@ -92,22 +92,22 @@
             self._link, self._age = link, MessageAge()
         return self._age.note(sent_ms / 1000, self.now)
 
-    def _refusal(self, link, order, give_up_at):
+    def _refusal(self, link, command, give_up_at):
         """Return why an order is not carried out, or None."""
         context = self.context
         checks = {
             LEAVING: context.leaving,
             "not from the home": context.links is None or link is not context.links.leader_link,
-            "of a former home": order.token < self._token,
+            "of a former home": command.token < self._token,
             LATE: self.now >= give_up_at,
         }
         return next((why for why, holds in checks.items() if holds), None)
 
-    def _answer(self, answer, link, order):
+    def _answer(self, answer, link, command):
         self.context.meters.count(
-            "carried", Verb(order.verb).name, OrderOutcome(answer.outcome).name
+            "carried", Verb(command.verb).name, CommandOutcome(answer.outcome).name
         )
-        answer.call = order.call
+        answer.call = command.call
         if not self._answers:
             self.later(GATHER_S, self._send_answers)
         self._answers.append((link, answer))
@@ -117,59 +117,61 @@
         for link, answer in answers:
             link.send(answer)
 
-    def _start(self, payload, link, order, give_up_at):
+    def _start(self, payload, link, command, give_up_at):
         # Reading the payload may have taken a while.
-        refusal = self._refusal(link, order, give_up_at)
+        refusal = self._refusal(link, command, give_up_at)
         if refusal is not None:
             return _not_sent(refusal)
         action = StartRun(
-            worker_id=order.worker,
-            task=order.task,
-            run_id=order.run_id,
+            worker_id=command.worker,
+            task=command.task,
+            run_id=command.run_id,
             payload=payload,
-            checkpoint=order.checkpoint or "",
-            ticket=order.ticket or "",
+            checkpoint=command.checkpoint or "",
+            ticket=command.ticket or "",
         )
-        done = self._calls_to(order).start(
-            action, until_s=order.until_ms / 1000, timeout=order.limit_ms / 1000
+        done = self._calls_to(command).start(
+            action, until_s=command.until_ms / 1000, timeout=command.limit_ms / 1000
         )
         return done.addCallback(
-            lambda clock_s: WorkerAnswer(outcome=OrderOutcome.DONE, clock_ms=round(1000 * clock_s))
+            lambda clock_s: WorkerAnswer(
+                outcome=CommandOutcome.DONE, clock_ms=round(1000 * clock_s)
+            )
         )
 
-    def _call(self, order):
-        calls = self._calls_to(order)
-        timeout = order.limit_ms / 1000
-        match order.verb:
+    def _call(self, command):
+        calls = self._calls_to(command)
+        timeout = command.limit_ms / 1000
+        match command.verb:
             case Verb.HOLD:
                 done = calls.hold(
-                    seen=order.seen,
-                    until_s=None if order.until_ms is None else order.until_ms / 1000,
-                    wait_s=(order.wait_ms or 0) / 1000,
+                    seen=command.seen,
+                    until_s=None if command.until_ms is None else command.until_ms / 1000,
+                    wait_s=(command.wait_ms or 0) / 1000,
                     timeout=timeout,
                 )
                 return done.addCallback(answer_of_report)
             case Verb.STOP:
                 action = StopRun(
-                    worker_id=order.worker, task=order.task, run_id=order.run_id, why=""
+                    worker_id=command.worker, task=command.task, run_id=command.run_id, why=""
                 )
                 done = calls.stop(action, timeout=timeout)
             case Verb.PACE:
                 action = SetPace(
-                    worker_id=order.worker,
-                    task=order.task,
-                    run_id=order.run_id,
-                    percent=order.percent,
+                    worker_id=command.worker,
+                    task=command.task,
+                    run_id=command.run_id,
+                    percent=command.percent,
                 )
                 done = calls.set_pace(action, timeout=timeout)
-        return done.addCallback(lambda _: WorkerAnswer(outcome=OrderOutcome.DONE))
+        return done.addCallback(lambda _: WorkerAnswer(outcome=CommandOutcome.DONE))
 
-    def _calls_to(self, order):
-        key = (order.worker, order.address)
+    def _calls_to(self, command):
+        key = (command.worker, command.address)
         calls = self._calls.get(key)
-        if calls is None or calls.token != order.token:
-            place = WorkerEndpoint(worker_id=order.worker, address=order.address)
-            calls = self._calls[key] = self.context.make_worker(place, order.token)
+        if calls is None or calls.token != command.token:
+            place = WorkerEndpoint(worker_id=command.worker, address=command.address)
+            calls = self._calls[key] = self.context.make_worker(place, command.token)
         self._calls.move_to_end(key)
         while len(self._calls) > MAX_WORKERS:
             self._calls.popitem(last=False)
@@ -177,13 +179,13 @@
 
 
 def _not_sent(why):
-    return WorkerAnswer(outcome=OrderOutcome.NOT_SENT, reason=why)
+    return WorkerAnswer(outcome=CommandOutcome.NOT_SENT, reason=why)
 
 
 def _failed(failure):
     failure.trap(AnvilflowError)
     if failure.check(PayloadGoneError):
-        return WorkerAnswer(outcome=OrderOutcome.NO_PAYLOAD, reason=str(failure.value))
+        return WorkerAnswer(outcome=CommandOutcome.NO_PAYLOAD, reason=str(failure.value))
     if failure.check(PlatformError):
         return _not_sent(f"payload not read: {failure.value}")
     return answer_of_error(failure.value)
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -3,7 +3,7 @@
 from ..decisions import choose_owner
 from ..exceptions import NotReadyError, PeerSilentError
 from ._strength import is_fit
-from ._worker_orders import LATE, LEAVING
+from ._worker_commands import LATE, LEAVING
 
 #: Time beyond an order's own limit for which its answer is waited for: the way to the carrier and
 #: back, and its turn there. Unit: seconds.
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -43,9 +43,9 @@
         ``seen(worker_id)`` gives the number of the last durable end,
         ``has_unseen(worker_id)`` tells whether there are later ones, ``is_silent(worker_id)``
         whether the last call to the worker had no answer, ``is_wanted(action)`` whether a run that
-        is being started still has its place, ``may_order()`` whether starts and leases may be sent,
-        ``may_retry()`` whether a start may be sent again, ``hold_wait()`` how long a hold may wait,
-        ``limit_s()`` how long answers of all workers are waited for.
+        is being started still has its place, ``may_send_commands()`` whether starts and leases may
+        be sent, ``may_retry()`` whether a start may be sent again, ``hold_wait()`` how long a hold
+        may wait, ``limit_s()`` how long answers of all workers are waited for.
     """
 
     def __init__(self, *, clock, calls, lease_s, fleet):
@@ -80,7 +80,7 @@
             if not answered:
                 # Once at once: an answer that was lost says nothing about the worker.
                 yield deferLater(self.clock, AGAIN_S if failed_before else 0.0, lambda: None)
-            elif not self.fleet.may_order():
+            elif not self.fleet.may_send_commands():
                 yield deferLater(self.clock, AGAIN_S, lambda: None)
             elif self.fleet.has_unseen(self.worker_id):
                 yield self._wait_for_record()
@@ -115,7 +115,9 @@
         # A lease that may have been renewed keeps the worker's tasks from starting elsewhere. A
         # worker that does not answer is asked without one, so that the wait for its tasks has an
         # end: renewed with each try, they waited until it came back.
-        asks_only = first or self.fleet.is_silent(self.worker_id) or not self.fleet.may_order()
+        asks_only = (
+            first or self.fleet.is_silent(self.worker_id) or not self.fleet.may_send_commands()
+        )
         until = None if asks_only else self._until(sent)
         wait_s = 0.0 if asks_only else self.fleet.hold_wait()
         try:
@@ -222,7 +224,7 @@
         return outcome
 
     def _start_once(self, action, timeout):
-        if not self.fleet.may_order():
+        if not self.fleet.may_send_commands():
             return succeed("unreached")
         until = self._until(self.clock.seconds())
         call = self._timed(self.calls.start(action, until_s=until, timeout=timeout))
--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -36,7 +36,7 @@
         Unit: seconds.
     drop : callable
         Called with each one that may not be sent any more.
-    may_order : callable
+    may_send_commands : callable
         Whether anything may be sent now.
 
     Notes
@@ -45,13 +45,13 @@
     without them.
     """
 
-    def __init__(self, *, clock, scheduler, send, drop, may_order):
+    def __init__(self, *, clock, scheduler, send, drop, may_send_commands):
         self.clock = clock
         self.scheduler = scheduler
         self.window = SendWindow(now=clock.seconds())
         self._send = send
         self._drop = drop
-        self._may_order = may_order
+        self._may_send_commands = may_send_commands
         self._heap = []
         self._numbers = count()
         self._groups = {}
@@ -110,7 +110,12 @@
 
     def send_due(self):
         """Send what the window allows, the most urgent first."""
-        if self._is_sending or not self._heap or not self.window.is_open or not self._may_order():
+        if (
+            self._is_sending
+            or not self._heap
+            or not self.window.is_open
+            or not self._may_send_commands()
+        ):
             return
         self._is_sending = True
         try:
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -11,8 +11,8 @@
     WorkerUnreachableError,
 )
 from ._tables import has_payload
-from ._worker_orders import (
-    OrderOutcome,
+from ._worker_commands import (
+    CommandOutcome,
     Verb,
     clock_of_answer,
     raise_failed,
@@ -27,7 +27,7 @@
 _CARRIED = "carried"
 
 
-class _Order(Struct):
+class _Command(Struct):
     """One call on its way.
 
     Parameters
@@ -93,7 +93,7 @@
         until_ms = None if until_s is None else int(1000 * until_s)
         values = {"seen": seen, "until_ms": until_ms, "wait_ms": round(1000 * wait_s)}
         return self._send(
-            self._order(
+            self._command(
                 Verb.HOLD, hold_directly, report_of_answer, timeout, values=values, held_s=wait_s
             )
         )
@@ -101,7 +101,7 @@
     def start(self, action, *, until_s, timeout=None):
         """Start a run, see :meth:`WorkerCalls.start`."""
         job_id = action.task.partition(".")[0]
-        order = self._order(
+        command = self._command(
             Verb.START,
             lambda: self._start_directly(action, job_id, until_s, timeout),
             clock_of_answer,
@@ -114,14 +114,14 @@
                 "ticket": action.ticket or None,
             },
         )
-        order.choose = lambda: self._relay_dispatcher.for_start(self.worker_id, job_id)
-        return self._send(order)
+        command.choose = lambda: self._relay_dispatcher.for_start(self.worker_id, job_id)
+        return self._send(command)
 
     def stop(self, action, *, timeout=None):
         """Stop a run, see :meth:`WorkerCalls.stop`."""
         values = {"task": action.task, "run_id": action.run_id}
         return self._send(
-            self._order(
+            self._command(
                 Verb.STOP,
                 lambda: self.direct.stop(action, timeout=timeout),
                 _nothing_of_answer,
@@ -134,7 +134,7 @@
         """Change the pace of a run, see :meth:`WorkerCalls.set_pace`."""
         values = {"task": action.task, "run_id": action.run_id, "percent": action.percent}
         return self._send(
-            self._order(
+            self._command(
                 Verb.PACE,
                 lambda: self.direct.set_pace(action, timeout=timeout),
                 _nothing_of_answer,
@@ -143,8 +143,8 @@
             )
         )
 
-    def _order(self, verb, direct, convert, timeout, *, values, held_s=0.0):
-        return _Order(
+    def _command(self, verb, direct, convert, timeout, *, values, held_s=0.0):
+        return _Command(
             verb=verb,
             choose=self._choose_holder,
             direct=direct,
@@ -170,39 +170,39 @@
 
     # One order on its way
 
-    def _send(self, order):
+    def _send(self, command):
         """Have an order carried out, or make the call; the Deferred fires with its result."""
-        name = order.choose() if order.n_left else None
+        name = command.choose() if command.n_left else None
         if name is None:
-            self._count(order, _DIRECT)
-            return order.direct()
-        order.n_left -= 1
-        self._count(order, _CARRIED)
+            self._count(command, _DIRECT)
+            return command.direct()
+        command.n_left -= 1
+        self._count(command, _CARRIED)
         done = self._relay_dispatcher.ask(
             name,
-            order.verb,
-            order.limit_s,
-            held_s=order.held_s,
+            command.verb,
+            command.limit_s,
+            held_s=command.held_s,
             token=self.direct.token,
             worker=self.worker_id,
             address=self._address,
-            **order.values,
+            **command.values,
         )
         return done.addCallbacks(
-            self._answered, self._unanswered, callbackArgs=(order, name), errbackArgs=(order,)
+            self._answered, self._unanswered, callbackArgs=(command, name), errbackArgs=(command,)
         )
 
-    def _answered(self, answer, order, name):
+    def _answered(self, answer, command, name):
         match answer.outcome:
-            case OrderOutcome.DONE:
-                return order.convert(answer)
-            case OrderOutcome.NOT_SENT:
+            case CommandOutcome.DONE:
+                return command.convert(answer)
+            case CommandOutcome.NOT_SENT:
                 self._relay_dispatcher.not_sent(name, answer.reason)
-                return self._send(order)
-            case OrderOutcome.UNANSWERED if order.verb is Verb.HOLD:
-                self._count(order, _DIRECT)
+                return self._send(command)
+            case CommandOutcome.UNANSWERED if command.verb is Verb.HOLD:
+                self._count(command, _DIRECT)
                 # The worker has held its answer back already, if it was reached.
-                return order.direct(0.0).addCallback(self._relay_was_cut_off, name)
+                return command.direct(0.0).addCallback(self._relay_was_cut_off, name)
             case _:
                 return raise_failed(answer)
 
@@ -210,17 +210,17 @@
         self._relay_dispatcher.rest(name, "does not reach a worker")
         return report
 
-    def _unanswered(self, failure, order):
+    def _unanswered(self, failure, command):
         if failure.check(NotReadyError):
-            return self._send(order)
+            return self._send(command)
         failure.trap(PeerSilentError)
-        if order.verb is Verb.HOLD:
-            order.n_left = 0
-            return self._send(order)
+        if command.verb is Verb.HOLD:
+            command.n_left = 0
+            return self._send(command)
         raise WorkerUnreachableError(f"no answer of a carrier: {failure.value}") from failure.value
 
-    def _count(self, order, route):
-        self._context.meters.count("routes", order.verb.name, route)
+    def _count(self, command, route):
+        self._context.meters.count("routes", command.verb.name, route)
 
 
 def _nothing_of_answer(_):
--- a/anvilflow/cell/_worker_orders.py
+++ b/anvilflow/cell/_worker_commands.py
@@ -16,7 +16,7 @@
     PACE = 4
 
 
-class OrderOutcome(IntEnum):
+class CommandOutcome(IntEnum):
     """What became of an order.
 
     `NOT_SENT` and `NO_PAYLOAD` are of the carrier: it has sent nothing, and will not.
@@ -44,20 +44,20 @@
 }
 
 
-def find_flaw(order):
+def find_flaw(command):
     """Return what keeps a :class:`WorkerOrder` from being carried out, or None."""
-    if order.verb not in _NEEDED:
-        return f"the verb {order.verb!r} is not known"
-    needed = ("call", "token", "worker", "address", "limit_ms", "sent_ms", *_NEEDED[order.verb])
-    missing = [name for name in needed if getattr(order, name) is None]
+    if command.verb not in _NEEDED:
+        return f"the verb {command.verb!r} is not known"
+    needed = ("call", "token", "worker", "address", "limit_ms", "sent_ms", *_NEEDED[command.verb])
+    missing = [name for name in needed if getattr(command, name) is None]
     return f"without {', '.join(missing)}" if missing else None
 
 
 #: How a failed call is told, the more special kinds first.
 _OUTCOME_OF_ERROR = (
-    (WorkerGoneError, OrderOutcome.GONE),
-    (WorkerRefusedError, OrderOutcome.REFUSED),
-    (WorkerUnreachableError, OrderOutcome.UNANSWERED),
+    (WorkerGoneError, CommandOutcome.GONE),
+    (WorkerRefusedError, CommandOutcome.REFUSED),
+    (WorkerUnreachableError, CommandOutcome.UNANSWERED),
 )
 
 #: Reason of a worker's refusal where nobody listens at its address.
@@ -67,7 +67,7 @@
 def answer_of_report(report):
     """Return the :class:`WorkerAnswer` that tells a worker's :class:`WorkerReport`."""
     return WorkerAnswer(
-        outcome=OrderOutcome.DONE,
+        outcome=CommandOutcome.DONE,
         clock_ms=round(1000 * report.clock_s),
         active=[_active_run(run) for run in report.active] or None,
         ended=[_listed_end(end) for end in report.ended] or None,
@@ -106,22 +106,22 @@
 def raise_failed(answer):
     """Raise what the answer of a carrier tells of a call that failed; return one that did not."""
     match answer.outcome:
-        case OrderOutcome.DONE:
+        case CommandOutcome.DONE:
             return answer
-        case OrderOutcome.REFUSED if answer.reason == _NOBODY_LISTENS:
+        case CommandOutcome.REFUSED if answer.reason == _NOBODY_LISTENS:
             details = {"reason": "unreached", "nobody_listens": True}
             raise WorkerRefusedError("nobody listens at the worker's address", details=details)
-        case OrderOutcome.REFUSED:
+        case CommandOutcome.REFUSED:
             raise WorkerRefusedError(
                 f"the worker refused: {answer.reason}", details={"reason": answer.reason}
             )
-        case OrderOutcome.GONE:
+        case CommandOutcome.GONE:
             raise WorkerGoneError(answer.reason)
-        case OrderOutcome.NOT_SENT:
+        case CommandOutcome.NOT_SENT:
             raise WorkerRefusedError(
                 f"the carrier did not send it: {answer.reason}", details={"reason": "unreached"}
             )
-        case OrderOutcome.NO_PAYLOAD:
+        case CommandOutcome.NO_PAYLOAD:
             raise WorkerRefusedError(answer.reason, details={"reason": "no payload"})
         case _:
             raise WorkerUnreachableError(answer.reason or "the carrier had no answer")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -8,8 +8,8 @@
 from anvilflow.cell._strength import HOME_LINK_MBPS
 from anvilflow.cell._tables import job_part
 from anvilflow.cell._worker_call_router import WorkerCallRouter
-from anvilflow.cell._worker_orders import (
-    OrderOutcome,
+from anvilflow.cell._worker_commands import (
+    CommandOutcome,
     Verb,
     find_flaw,
     raise_failed,
@@ -170,14 +170,14 @@
     cell.pause(relay)
     cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
     link = cell.daemons[cell.leader()].context.links.peers[relay]
-    link.send(_order(cell, sent_ms=round(1000 * cell.clock.seconds())))
+    link.send(_command(cell, sent_ms=round(1000 * cell.clock.seconds())))
     cell.advance(1.0)
     cell.resume(relay)
     cell.advance(0.1)
     assert cell.runs_of(f"{JOB}.9.9.9") is not safeguard
 
 
-def _order(cell, **values):
+def _command(cell, **values):
     leader = cell.daemons[cell.leader()]
     worker = cell.workers["i-0"]
     fields = {
@@ -206,10 +206,10 @@
     if not safeguard:
         context.relay._token = 0
         monkeypatch.setattr(cell.workers["i-0"], "token", 0)
-    order = _order(cell, token=1)
-    context.relay.serve(context.links.leader_link, order)
+    command = _command(cell, token=1)
+    context.relay.serve(context.links.leader_link, command)
     cell.advance(0.1)
-    assert (not cell.runs_of(order.task)) is safeguard
+    assert (not cell.runs_of(command.task)) is safeguard
 
 
 def test_order_from_an_instance_that_is_not_the_home_is_not_carried_out():
@@ -219,7 +219,7 @@
     context = cell.daemons[relay].context
     context.payloads.keep(JOB, "0.3 done 1000")
     other = cell.daemons[cell.leader()].context.links.peers[relay]
-    context.relay.serve(other, _order(cell))
+    context.relay.serve(other, _command(cell))
     cell.advance(0.1)
     assert not cell.runs_of(f"{JOB}.9.9.9")
 
@@ -229,9 +229,9 @@
     """A message that cannot be carried out must not end the part that takes it."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
-    order = _order(cell, **values)
-    assert find_flaw(order)
-    context.relay.serve(context.links.leader_link, order)
+    command = _command(cell, **values)
+    assert find_flaw(command)
+    context.relay.serve(context.links.leader_link, command)
     assert context.meters.counts["malformed_messages", ()] == 1
 
 
@@ -241,7 +241,7 @@
 def test_answer_that_is_not_whole_counts_as_none(values):
     """A carrier's fault must not end the home's part; the worker may have acted."""
     with pytest.raises(WorkerUnreachableError):
-        report_of_answer(raise_failed(WorkerAnswer(**{"outcome": OrderOutcome.DONE, **values})))
+        report_of_answer(raise_failed(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values})))
 
 
 def test_start_told_twice_begins_once():
@@ -250,7 +250,7 @@
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
     for _ in range(2):
-        context.relay.serve(context.links.leader_link, _order(cell))
+        context.relay.serve(context.links.leader_link, _command(cell))
     cell.advance(0.1)
     assert len(cell.runs_of(f"{JOB}.9.9.9")) == 1
 
@@ -292,8 +292,8 @@
     assert _names(2) <= {span.task for span in cell.spans}
 
 
-def _believe_carrier(self, answer, order, name):
-    return order.convert(raise_failed(answer))
+def _believe_carrier(self, answer, command, name):
+    return command.convert(raise_failed(answer))
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -372,4 +372,4 @@
     routes = cell.daemons[cell.leader()].context.meters.counts
     assert routes["routes", ("START", "carried")] == 4
     carried = cell.daemons[gateway].context.meters.counts
-    assert carried["carried", (Verb.START.name, OrderOutcome.DONE.name)] == 4
+    assert carried["carried", (Verb.START.name, CommandOutcome.DONE.name)] == 4
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -151,7 +151,7 @@
     they renewed by the home that is cut off, their tasks would run in two places.
     """
     if not safeguard:
-        monkeypatch.setattr(_fleet.Fleet, "may_order", lambda self: True)
+        monkeypatch.setattr(_fleet.Fleet, "may_send_commands", lambda self: True)
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 5000}, spec="30.0 done 5000")
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -19,13 +19,13 @@
         self.scheduler = make_scheduler(n_workers)
         self.sent = []
         self.dropped = []
-        self.may_order = True
+        self.may_send_commands = True
         self.queue = StartQueue(
             clock=self.clock,
             scheduler=self.scheduler,
             send=lambda action, waited_s: self.sent.append(action),
             drop=self.dropped.append,
-            may_order=lambda: self.may_order,
+            may_send_commands=lambda: self.may_send_commands,
         )
 
     def submit(self, number, *, n_tasks, queue=USUAL, **values):
@@ -106,9 +106,9 @@
     """A home that may have lost its place must neither send starts nor lose them."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=2)
-    leader.may_order = False
+    leader.may_send_commands = False
     leader.queue.send_due()
     assert leader.sent == []
-    leader.may_order = True
+    leader.may_send_commands = True
     leader.queue.send_due()
     assert leader.sent == starts
--- a/anvilflow/jobs/__init__.py
+++ b/anvilflow/jobs/__init__.py
@@ -10,7 +10,7 @@
     StopRun,
 )
 from ._crash_history import CrashHistory, Fate, LostRun
-from ._grace_period import ORDER_S, GracePeriod
+from ._grace_period import COMMAND_S, GracePeriod
 from ._handover import HandoverWorker, make_handover
 from ._job import ENDED_STATES, JobRun, JobState, TaskState, longest_chain_s
 from ._policy import SchedulingPolicy
@@ -20,8 +20,8 @@
 from ._worker import RunEnd, RunReport, Worker, WorkerInfo, WorkerReport
 
 __all__ = [
+    "COMMAND_S",
     "ENDED_STATES",
-    "ORDER_S",
     "AdviceRules",
     "AskAdvice",
     "CellConfig",
--- a/anvilflow/jobs/_grace_period.py
+++ b/anvilflow/jobs/_grace_period.py
@@ -5,7 +5,7 @@
 #: Time for which a home may go on ordering after it last knew that it is the home: from a write
 #: under its row, or from more than half of its workers, which took its token. Workers are held each
 #: half second, and twice as often while the store is away. Unit: seconds.
-ORDER_S = 0.7
+COMMAND_S = 0.7
 
 #: Time after which a home that has not heard more than half of the workers waits no longer: those
 #: that are gone for good must not keep it waiting for ever. Unit: seconds.
@@ -31,9 +31,9 @@
 
     Notes
     -----
-    A former home that lives and is cut off goes on for :data:`ORDER_S` after it last knew that it
+    A former home that lives and is cut off goes on for :data:`COMMAND_S` after it last knew that it
     is the home. Two homes cannot both hear more than half of the workers: one that took the new
-    token refuses the old one. So `ORDER_S` after this home has heard that many, no order of a
+    token refuses the old one. So `COMMAND_S` after this home has heard that many, no order of a
     former home is sent any more, and a lease later none is in force.
     """
 
@@ -43,12 +43,12 @@
         self.n_workers = n_workers
         self.missing = set(missing)
         self.is_known = is_known
-        self.orders_over_at = None
+        self.commands_expired_at = None
         self.leases_over_at = None
-        self.orders_over_version = None
+        self.commands_expired_version = None
         if term == 1:
-            self._set_ends(now - ORDER_S - lease_end(0.0, lease_s))
-            self.orders_over_version = 0
+            self._set_ends(now - COMMAND_S - lease_end(0.0, lease_s))
+            self.commands_expired_version = 0
 
     def worker_found(self, worker_id):
         """A worker has registered."""
@@ -71,9 +71,11 @@
 
     def row_written(self, version, sent_at):
         """Take the version of the home's row by a write that was sent at `sent_at`."""
-        orders_over = self.orders_over_at is not None and sent_at >= self.orders_over_at
-        if orders_over and self.orders_over_version is None:
-            self.orders_over_version = version
+        commands_expired = (
+            self.commands_expired_at is not None and sent_at >= self.commands_expired_at
+        )
+        if commands_expired and self.commands_expired_version is None:
+            self.commands_expired_version = version
 
     def may_have_begun(self, version):
         """Whether an earlier home may have begun a job, by the version of the job's row.
@@ -81,11 +83,11 @@
         Also one that was accepted after this home began: until its orders are over, a former home
         may be told of it and start it on a worker that this one does not reach.
         """
-        return self.orders_over_version is None or version <= self.orders_over_version
+        return self.commands_expired_version is None or version <= self.commands_expired_version
 
     def _set_ends(self, now):
-        self.orders_over_at = now + ORDER_S
-        self.leases_over_at = lease_end(self.orders_over_at, self.lease_s)
+        self.commands_expired_at = now + COMMAND_S
+        self.leases_over_at = lease_end(self.commands_expired_at, self.lease_s)
 
     def is_over(self, now):
         """Whether nothing runs any more that an earlier home has started and nobody has listed."""
--- a/anvilflow/jobs/tests/test_grace_period.py
+++ b/anvilflow/jobs/tests/test_grace_period.py
@@ -1,6 +1,6 @@
 """When an earlier home can have begun a job, and until when its runs may go on."""
 
-from anvilflow.jobs import ORDER_S, GracePeriod
+from anvilflow.jobs import COMMAND_S, GracePeriod
 
 
 def test_job_that_was_accepted_before_the_orders_of_former_homes_were_over_may_have_begun():
@@ -8,10 +8,10 @@
     grace_period = GracePeriod(term=2, lease_s=3.0, now=0.0, n_workers=3)
     grace_period.row_written(10, 0.1)
     grace_period.heard(2, 3, 0.2)
-    grace_period.row_written(20, 0.2 + ORDER_S - 0.01)
+    grace_period.row_written(20, 0.2 + COMMAND_S - 0.01)
     assert grace_period.may_have_begun(21)
-    grace_period.row_written(30, 0.2 + ORDER_S)
-    grace_period.row_written(40, 0.2 + ORDER_S + 0.1)
+    grace_period.row_written(30, 0.2 + COMMAND_S)
+    grace_period.row_written(40, 0.2 + COMMAND_S + 0.1)
     assert grace_period.may_have_begun(30)
     assert not grace_period.may_have_begun(31)
 
--- a/anvilflow/platform/_workers.py
+++ b/anvilflow/platform/_workers.py
@@ -63,7 +63,7 @@
             body["until-ms"] = int(until_s * 1000)
         if wait_s:
             body["wait-ms"] = int(wait_s * 1000)
-        call = self._order("hold", body, self._wait(timeout) + wait_s, held_s=wait_s)
+        call = self._command("hold", body, self._wait(timeout) + wait_s, held_s=wait_s)
         return call.addCallback(_report)
 
     def start(self, action, *, until_s, timeout=None):
@@ -82,13 +82,13 @@
             body["checkpoint"] = action.checkpoint
         if action.ticket:
             body["ticket"] = action.ticket
-        call = self._order("run-start", body, self._wait(timeout))
+        call = self._command("run-start", body, self._wait(timeout))
         return call.addCallback(lambda answer: answer.clock_ms / 1000)
 
     def stop(self, action, *, timeout=None):
         """Stop a run, or bar it from starting later."""
         body = {"task": action.task, "run-id": action.run_id, "fencing-token": self.token}
-        return self._order("run-stop", body, self._wait(timeout))
+        return self._command("run-stop", body, self._wait(timeout))
 
     def set_pace(self, action, *, timeout=None):
         """Let a run work at a share of its speed."""
@@ -98,12 +98,12 @@
             "percent": action.percent,
             "fencing-token": self.token,
         }
-        return self._order("pace", body, self._wait(timeout))
+        return self._command("pace", body, self._wait(timeout))
 
     def _wait(self, timeout):
         return self.timeout if timeout is None else timeout
 
-    def _order(self, verb, body, timeout, held_s=0.0):
+    def _command(self, verb, body, timeout, held_s=0.0):
         call = self.http.post(
             self._base + verb, encode(body), timeout=timeout, held_s=held_s, headers=self._headers
         )
