--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -4,7 +4,7 @@
 from ..exceptions import PayloadGoneError
 from ..jobs import COMMAND_S
 from ._registry import Registry
-from ._session import HOLD_WAIT_S, WorkerSession
+from ._session import RENEWAL_WAIT_S, WorkerSession
 from ._start_queue import StartQueue
 from ._worker_call_router import WorkerCallRouter
 
@@ -16,7 +16,7 @@
 #: Longest wait of a hold while the home is short of processor. Holds, with news or without, were
 #: some 1,090 of its 2,012 calls in a profile of ten seconds. Two of these and the lag stay within a
 #: lease. Unit: seconds.
-SHORT_HOLD_WAIT_S = 1.0
+SHORT_RENEWAL_WAIT_S = 1.0
 
 #: Time that a worker's missing entry is given to come back, for example after an outage of the
 #: store in which it lapsed. Unit: seconds.
@@ -125,14 +125,14 @@
         n_heard = sum(now - at <= COMMAND_S for at in self._heard_at.values())
         return 2 * n_heard > len(self.scheduler.workers)
 
-    def hold_wait(self):
+    def renewal_wait(self):
         """Return how long a hold may wait.
 
         Shorter where only workers can confirm the home; longer where it is short of processor.
         """
         if not self.is_confirmed():
-            return HOLD_WAIT_S / 2
-        return SHORT_HOLD_WAIT_S if self.context.lag.is_short else HOLD_WAIT_S
+            return RENEWAL_WAIT_S / 2
+        return SHORT_RENEWAL_WAIT_S if self.context.lag.is_short else RENEWAL_WAIT_S
 
     # Orders
 
--- a/anvilflow/cell/_relay.py
+++ b/anvilflow/cell/_relay.py
@@ -144,7 +144,7 @@
         timeout = command.limit_ms / 1000
         match command.verb:
             case Verb.HOLD:
-                done = calls.hold(
+                done = calls.renew_leases(
                     seen=command.seen,
                     until_s=None if command.until_ms is None else command.until_ms / 1000,
                     wait_s=(command.wait_ms or 0) / 1000,
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -7,7 +7,7 @@
 from ..exceptions import WorkerGoneError, WorkerRefusedError, WorkerUnreachableError
 
 #: Longest wait of a hold. It bounds the time between two renewals of the leases. Unit: seconds.
-HOLD_WAIT_S = 0.5
+RENEWAL_WAIT_S = 0.5
 
 #: Longest wait for a record before the worker is held again: in an outage of the store the leases
 #: still have to be renewed, and ends have to be heard. Unit: seconds.
@@ -44,8 +44,8 @@
         ``has_unseen(worker_id)`` tells whether there are later ones, ``is_silent(worker_id)``
         whether the last call to the worker had no answer, ``is_wanted(action)`` whether a run that
         is being started still has its place, ``may_send_commands()`` whether starts and leases may
-        be sent, ``may_retry()`` whether a start may be sent again, ``hold_wait()`` how long a hold
-        may wait, ``limit_s()`` how long answers of all workers are waited for.
+        be sent, ``may_retry()`` whether a start may be sent again, ``renewal_wait()`` how long a
+        hold may wait, ``limit_s()`` how long answers of all workers are waited for.
     """
 
     def __init__(self, *, clock, calls, lease_s, fleet):
@@ -74,7 +74,7 @@
         answered = True
         while not self.stopped:
             failed_before = not answered
-            answered = yield self._hold()
+            answered = yield self._renew_leases()
             if self.stopped:
                 return
             if not answered:
@@ -109,7 +109,7 @@
         return self.fleet.has_unseen(self.worker_id)
 
     @inlineCallbacks
-    def _hold(self):
+    def _renew_leases(self):
         sent = self.clock.seconds()
         first = self.worker_clock is None
         # A lease that may have been renewed keeps the worker's tasks from starting elsewhere. A
@@ -119,10 +119,10 @@
             first or self.fleet.is_silent(self.worker_id) or not self.fleet.may_send_commands()
         )
         until = None if asks_only else self._until(sent)
-        wait_s = 0.0 if asks_only else self.fleet.hold_wait()
+        wait_s = 0.0 if asks_only else self.fleet.renewal_wait()
         try:
             report = yield self._timed(
-                self.calls.hold(
+                self.calls.renew_leases(
                     seen=self.fleet.seen(self.worker_id),
                     until_s=until,
                     wait_s=wait_s,
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -84,17 +84,19 @@
         self._relay_dispatcher = relay_dispatcher
         self._context = context
 
-    def hold(self, *, seen, until_s, wait_s, timeout=None):
-        """Renew the lease of all that runs, see :meth:`WorkerCalls.hold`."""
+    def renew_leases(self, *, seen, until_s, wait_s, timeout=None):
+        """Renew the lease of all that runs, see :meth:`WorkerCalls.renew_leases`."""
 
-        def hold_directly(held_s=wait_s):
-            return self.direct.hold(seen=seen, until_s=until_s, wait_s=held_s, timeout=timeout)
+        def renew_directly(held_s=wait_s):
+            return self.direct.renew_leases(
+                seen=seen, until_s=until_s, wait_s=held_s, timeout=timeout
+            )
 
         until_ms = None if until_s is None else int(1000 * until_s)
         values = {"seen": seen, "until_ms": until_ms, "wait_ms": round(1000 * wait_s)}
         return self._send(
             self._command(
-                Verb.HOLD, hold_directly, report_of_answer, timeout, values=values, held_s=wait_s
+                Verb.HOLD, renew_directly, report_of_answer, timeout, values=values, held_s=wait_s
             )
         )
 
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -264,7 +264,7 @@
     cell.advance(1.0)
     before = cell.workers["i-0"].n_holds
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.HOLD_WAIT_S
+    assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.RENEWAL_WAIT_S
 
 
 def _forget_workers(self, now):
--- a/anvilflow/platform/_workers.py
+++ b/anvilflow/platform/_workers.py
@@ -44,7 +44,7 @@
             b"x-expect-instance": [worker_id.encode()],
         }
 
-    def hold(self, *, seen, until_s, wait_s, timeout=None):
+    def renew_leases(self, *, seen, until_s, wait_s, timeout=None):
         """Renew the lease of all that runs; the Deferred fires with a :class:`WorkerReport`.
 
         Parameters
