--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -129,7 +129,7 @@
         self._count_call_bytes = count_bytes
         self.links = None
         self.relay = None
-        self.warm_tables = None
+        self.standby_tables = None
         self.successors = ()
         self.leader = None
         self.config_part = None
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -19,8 +19,8 @@
 from ._links import LinksPart
 from ._observer import ObserverPart
 from ._relay import RelayPart
+from ._standby_tables import StandbyTablesPart
 from ._store_watch import StoreWatchPart
-from ._warm_tables import WarmTablesPart
 
 #: Wait for an answer of the store. It answers in 4 ms; slowed sixty times, in 0.25 s.
 #: Unit: seconds.
@@ -66,7 +66,7 @@
             ("links", LinksPart),
             ("store", StoreWatchPart),
             ("config", ConfigPart),
-            ("warm", WarmTablesPart),
+            ("warm", StandbyTablesPart),
             ("home", LeaderPart),
             ("leadership", LeadershipPart),
             ("entry", GatewayPart),
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -219,8 +219,8 @@
     def _read_tables(self, claimed):
         """Return the state of the tables: what is known of them already, or read whole."""
         context = self.context
-        if context.warm_tables is not None:
-            state = yield context.warm_tables.state(claimed.former, context.config)
+        if context.standby_tables is not None:
+            state = yield context.standby_tables.state(claimed.former, context.config)
             if state is not None:
                 return state
         state = yield read_state(
--- a/anvilflow/cell/_warm_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -12,7 +12,7 @@
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
 #: Successors that follow the tables: the next home, and the one after it.
-N_WARM = 2
+N_STANDBYS = 2
 
 #: Pause between readings of what has changed. Unit: seconds.
 PERIOD_S = 0.5
@@ -54,7 +54,7 @@
         self.version = version
 
 
-class WarmTablesPart(Part):
+class StandbyTablesPart(Part):
     """Follows the tables that a home reads when it begins, while this instance is a successor.
 
     Over a narrow link, and with little processor, a new home read them for seconds. Leases ended
@@ -71,16 +71,16 @@
 
     def start(self):
         """Follow the tables whenever this instance is one of the next homes."""
-        self.context.warm_tables = self
+        self.context.standby_tables = self
         self.every(self._period_s, self._follow)
 
     def stop(self):
         """Forget them."""
-        self.context.warm_tables = None
+        self.context.standby_tables = None
         super().stop()
 
     @property
-    def is_warm(self):
+    def is_complete(self):
         """Whether all tables have been read."""
         return len(self._tables) == len(_TABLES)
 
@@ -95,7 +95,7 @@
         context = self.context
         if self._has_room() or context.leader is not None:
             return False
-        return context.name in context.successors[:N_WARM]
+        return context.name in context.successors[:N_STANDBYS]
 
     @inlineCallbacks
     def _follow(self):
@@ -107,7 +107,7 @@
         if self.context.store_health.is_bad:
             return
         try:
-            if self.is_warm:
+            if self.is_complete:
                 yield self._catch_up()
             else:
                 yield self._read()
@@ -155,7 +155,7 @@
         config : CellConfig or None
             As in :func:`read_state`.
         """
-        if not self.is_warm:
+        if not self.is_complete:
             return None
         try:
             yield self._catch_up()
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_warm_tables.py
@@ -3,7 +3,7 @@
 import pytest
 
 from anvilflow.cell._leader_state import read_state
-from anvilflow.cell._warm_tables import N_WARM, WarmTablesPart
+from anvilflow.cell._standby_tables import N_STANDBYS, StandbyTablesPart
 
 from ._helpers import JOB, STEP, cancel, make_cell
 from .test_slow_links import NARROW, NARROW_MBPS, _cell_with_large_rows
@@ -19,14 +19,14 @@
 
 
 def _warm(cell):
-    return [name for name, each in cell.daemons.items() if each.context.warm_tables.is_warm]
+    return [name for name, each in cell.daemons.items() if each.context.standby_tables.is_complete]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_home_begins_at_once_after_the_loss_of_another(monkeypatch, safeguard):
     """Over a narrow link it read the rows of all jobs first, while leases ended."""
     if not safeguard:
-        monkeypatch.setattr(WarmTablesPart, "is_warm", False)
+        monkeypatch.setattr(StandbyTablesPart, "is_complete", False)
     cell = _cell_with_large_rows()
     for name, daemon in cell.daemons.items():
         daemon.context.settings.link_mbps = NARROW_MBPS
@@ -42,7 +42,7 @@
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
     successors = cell.daemons[cell.leader()].context.links.successors
-    assert set(_warm(cell)) == set(successors[:N_WARM])
+    assert set(_warm(cell)) == set(successors[:N_STANDBYS])
     fast = make_cell(n_instances=5)
     fast.advance(2.0)
     assert _warm(fast) == []
@@ -63,7 +63,7 @@
     cell.store.remove("servers", "i-3")
     cell.advance(2.0)
     context = cell.daemons[_warm(cell)[0]].context
-    followed = _result(context.warm_tables.state(None, context.config))
+    followed = _result(context.standby_tables.state(None, context.config))
     read = _result(read_state(context.store, None, context.config))
     cell.advance(0.1)
     for name in ("jobs", "progress", "ended", "workers"):
@@ -94,7 +94,7 @@
     """Two readings of changes may be under way, before and after a claim."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
-    warm = cell.daemons[_warm(cell)[0]].context.warm_tables
+    warm = cell.daemons[_warm(cell)[0]].context.standby_tables
     table = warm._tables["jobs"]
     rows, version = dict(table.rows), table.version
     table.changed([], version + 5)
