--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -1,12 +1,12 @@
 """What the home tells the other instances of itself."""
 
 from ..peers.gen.ttypes import HomeBeat
-from ._strength import gives_way
+from ._leader_eligibility import should_yield
 from ._waiting import PENDING_HEARTBEAT_S
 
 #: Least time for which a home keeps its place before it gives way to a stronger instance: what its
 #: beginning costs is over by then. Unit: seconds.
-GIVE_WAY_AFTER_S = 3.0
+MIN_LEADERSHIP_S = 3.0
 
 
 class LeaderHeartbeat:
@@ -91,6 +91,6 @@
         loaded_at = self.leader.loaded_at
         if loaded_at is None or links is None or not self.context.lag.is_short:
             return False
-        if self.context.clock.seconds() - loaded_at < GIVE_WAY_AFTER_S:
+        if self.context.clock.seconds() - loaded_at < MIN_LEADERSHIP_S:
             return False
-        return gives_way(self.context.settings.cpu_milli, links.most_cpu_milli)
+        return should_yield(self.context.settings.cpu_milli, links.most_cpu_milli)
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -8,9 +8,9 @@
 from ..runtime import Part
 from ..utils import decode, jitter
 from ._context import Claimed, Deposed, LeaderChanged
+from ._leader_eligibility import can_lead
 from ._links import DIAL_TIMEOUT_S, LeaderLinkLost
 from ._outcome import Outcome
-from ._strength import is_fit
 from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
 from ._waiting import Waiting
 
@@ -217,7 +217,7 @@
         """Whether other instances should claim first, as far as this one knows."""
         settings = self.context.settings
         is_known = self.context.name in self.context.successors
-        return not is_known and not is_fit(settings.link_mbps, settings.cpu_milli)
+        return not is_known and not can_lead(settings.link_mbps, settings.cpu_milli)
 
     def _still_s(self):
         """Return for how long the home's row may stand still."""
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -15,7 +15,7 @@
     WorkerOrder,
 )
 from ..runtime import Part
-from ._strength import in_order, told_cpu_milli
+from ._leader_eligibility import rank_candidates, reported_cpu_milli
 
 #: Messages that wait on one link at the most.
 QUEUE_LIMIT = 5000
@@ -120,13 +120,13 @@
     def successors(self):
         """Names of the connected instances in the order in which they should become the home."""
         hellos = [link.peer for link in self.peers.values()]
-        return [hello.instance for hello in in_order(hellos, self._restarted)]
+        return [hello.instance for hello in rank_candidates(hellos, self._restarted)]
 
     @property
     def most_cpu_milli(self):
         """Processor of the first of them, 0 when there is none. Unit: thousandths of a core."""
-        hellos = in_order(link.peer for link in self.peers.values())
-        return told_cpu_milli(hellos[0]) if hellos else 0
+        hellos = rank_candidates(link.peer for link in self.peers.values())
+        return reported_cpu_milli(hellos[0]) if hellos else 0
 
     @property
     def successor_addresses(self):
@@ -134,7 +134,7 @@
         since = self.now - REMEMBERED_S
         hellos = {name: hello for name, (hello, at) in self._gone.items() if at >= since}
         hellos.update((name, link.peer) for name, link in self.peers.items())
-        first = in_order(hellos.values(), self._restarted)
+        first = rank_candidates(hellos.values(), self._restarted)
         return [hello.address for hello in first if hello.address][:MAX_ADDRESSES]
 
     # To the home
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -2,7 +2,7 @@
 
 from ..decisions import choose_owner
 from ..exceptions import NotReadyError, PeerSilentError
-from ._strength import is_fit
+from ._leader_eligibility import can_lead
 from ._worker_commands import LATE, LEAVING
 
 #: Time beyond an order's own limit for which its answer is waited for: the way to the carrier and
@@ -67,7 +67,7 @@
         itself would make it later.
         """
         settings = self.context.settings
-        if not is_fit(settings.link_mbps, settings.cpu_milli):
+        if not can_lead(settings.link_mbps, settings.cpu_milli):
             return True
         return self.context.clock.seconds() < self._busy_until
 
--- a/anvilflow/cell/_standby_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -6,9 +6,9 @@
 from ..platform import REGISTRY_TABLE
 from ..runtime import Part
 from ._job_store import read_jobs
+from ._leader_eligibility import can_lead
 from ._leader_state import StoredState, find_missing, gather, readings_at_once
 from ._registry import is_worker_entry
-from ._strength import is_fit
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
 #: Successors that follow the tables: the next home, and the one after it.
@@ -86,7 +86,7 @@
 
     def _has_room(self):
         settings = self.context.settings
-        return is_fit(settings.link_mbps, settings.cpu_milli)
+        return can_lead(settings.link_mbps, settings.cpu_milli)
 
     def _period_s(self):
         return IDLE_PERIOD_S if self._has_room() else PERIOD_S
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -2,10 +2,10 @@
 
 import pytest
 
+from anvilflow.cell._leader_eligibility import MIN_LEADER_LINK_MBPS
 from anvilflow.cell._link_use import LinkUse
 from anvilflow.cell._payloads import Payloads
 from anvilflow.cell._relay_dispatcher import BUSY_SHARE, RelayDispatcher
-from anvilflow.cell._strength import HOME_LINK_MBPS
 from anvilflow.cell._tables import job_part
 from anvilflow.cell._worker_call_router import WorkerCallRouter
 from anvilflow.cell._worker_commands import (
@@ -89,12 +89,12 @@
     """A home on a wide link, too, once the share in use says that a burst would fill it."""
     cell = make_cell(n_instances=5, n_workers=6)
     context = cell.daemons[cell.leader()].context
-    context.settings.link_mbps = HOME_LINK_MBPS
+    context.settings.link_mbps = MIN_LEADER_LINK_MBPS
     context.link_use = LinkUse(
         settings=lambda: context.settings, count=lambda: (0, bytes_per_s * cell.clock.seconds())
     )
     cell.advance(3.0)
-    is_busy = bytes_per_s >= BUSY_SHARE * HOME_LINK_MBPS * BYTES_PER_MBIT
+    is_busy = bytes_per_s >= BUSY_SHARE * MIN_LEADER_LINK_MBPS * BYTES_PER_MBIT
     assert context.uses_relays is is_busy
 
 
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -2,8 +2,14 @@
 
 import pytest
 
-from anvilflow.cell import CellSettings, ListenSettings, _leader_heartbeat, _links, _strength
-from anvilflow.cell._strength import in_order, told_cpu_milli
+from anvilflow.cell import (
+    CellSettings,
+    ListenSettings,
+    _leader_eligibility,
+    _leader_heartbeat,
+    _links,
+)
+from anvilflow.cell._leader_eligibility import rank_candidates, reported_cpu_milli
 from anvilflow.peers.gen.ttypes import Hello
 
 from ._helpers import end_and_start_all, make_cell
@@ -37,15 +43,15 @@
         make_hello("weak", link_mbps=200, cpu_milli=516),
         make_hello("strong", link_mbps=20, cpu_milli=2151),
     ]
-    assert [hello.instance for hello in in_order(hellos)] == ["strong", "weak", "narrow"]
+    assert [hello.instance for hello in rank_candidates(hellos)] == ["strong", "weak", "narrow"]
 
 
 @pytest.mark.parametrize("cpu_milli", [None, 0, -5, 2_000_000_000])
 def test_instance_that_tells_an_impossible_strength_counts_as_the_weakest(cpu_milli):
     """It may still become the home, after all others."""
     liar = make_hello("liar", cpu_milli=cpu_milli)
-    assert told_cpu_milli(liar) == 0
-    assert [hello.instance for hello in in_order([liar, make_hello("z", cpu_milli=1)])][
+    assert reported_cpu_milli(liar) == 0
+    assert [hello.instance for hello in rank_candidates([liar, make_hello("z", cpu_milli=1)])][
         -1
     ] == "liar"
 
@@ -68,7 +74,7 @@
 def test_successor_is_one_with_much_processor(monkeypatch, safeguard):
     """The home dies; of the instances that are left one has more than an eighth of a core."""
     if not safeguard:
-        monkeypatch.setattr(_strength, "told_cpu_milli", lambda hello: 0)
+        monkeypatch.setattr(_leader_eligibility, "reported_cpu_milli", lambda hello: 0)
     cell = make_cell(n_instances=4, weak=WEAK)
     cell.start_instance("a4")
     cell.start_instance("a5")
@@ -82,7 +88,7 @@
 def test_home_after_the_end_of_all_instances_has_much_processor(monkeypatch, safeguard):
     """All instances are killed at once and started again: nobody knows an order."""
     if not safeguard:
-        monkeypatch.setattr(_strength, "HOME_CPU_MILLI", 0)
+        monkeypatch.setattr(_leader_eligibility, "MIN_LEADER_CPU_MILLI", 0)
     leaders = set()
     for random_state in range(4):
         cell = make_cell(n_instances=6, weak=WEAK, random_state=random_state)
@@ -99,11 +105,11 @@
     do it in time.
     """
     if not safeguard:
-        monkeypatch.setattr(_strength, "GIVE_WAY_TIMES", float("inf"))
+        monkeypatch.setattr(_leader_eligibility, "YIELD_CPU_RATIO", float("inf"))
     cell = make_cell(n_instances=4, n_workers=12, weak=WEAK)
     assert cell.leader() in WEAK
     cell.start_instance("a4")
-    cell.advance(_leader_heartbeat.GIVE_WAY_AFTER_S)
+    cell.advance(_leader_heartbeat.MIN_LEADERSHIP_S)
     job_ids = _play_burst(cell, call_s={"a4": CALL_S / 8})
     assert (cell.leader() == "a4") is safeguard
     done = {span.task.split(".")[0] for span in cell.spans if span.how == "done"}
