--- a/anvilflow/cell/_janitor.py
+++ b/anvilflow/cell/_garbage_collector.py
@@ -34,7 +34,7 @@
 JOBS_PER_COMMIT = 33
 
 
-class Janitor:
+class GarbageCollector:
     """Keeps the tables, and the home's memory, from growing with all jobs that were ever accepted.
 
     Parameters
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -14,16 +14,16 @@
     context : CellContext
     log : Logger
     scheduler : Scheduler
-    janitor : Janitor
+    garbage_collector : GarbageCollector
     relay_dispatcher : RelayDispatcher
         Hears which instance has the payload of a job.
     """
 
-    def __init__(self, *, context, log, scheduler, janitor, relay_dispatcher):
+    def __init__(self, *, context, log, scheduler, garbage_collector, relay_dispatcher):
         self.context = context
         self.log = log
         self.scheduler = scheduler
-        self.janitor = janitor
+        self.garbage_collector = garbage_collector
         self.relay_dispatcher = relay_dispatcher
         self._version = 0
         self._unreadable_job_ids = set()
@@ -53,7 +53,7 @@
             value = self._decode_row(row, EndedJob)
             if value is not None:
                 self.scheduler.forget_job(row.key, JobState(value.state), self._now())
-                self.janitor.add(row.key, value.ended_at)
+                self.garbage_collector.add(row.key, value.ended_at)
         marks = [row for row in state.jobs if row.key.endswith(CANCEL_MARK)]
         for row in state.jobs:
             if not row.key.endswith(CANCEL_MARK):
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -19,7 +19,7 @@
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
-from ._janitor import SWEEP_S, Janitor
+from ._garbage_collector import SWEEP_S, GarbageCollector
 from ._job_intake import JobIntake
 from ._job_store import read_jobs
 from ._leader_calls import LeaderCalls
@@ -78,7 +78,7 @@
         self.loaded_at = None
         self._n_failed_loads = 0
         self._loading_heartbeat = None
-        self._janitor = None
+        self._garbage_collector = None
         self._intake = None
         self._leader_heartbeat = LeaderHeartbeat(context=context, log=self.log, leader=self)
 
@@ -161,7 +161,9 @@
         self._scheduler = scheduler
         self._advisers = Advisers(context=self.context)
         self._relay_dispatcher = RelayDispatcher(context=self.context, log=self.log)
-        self._janitor = Janitor(context=self.context, on_removed=scheduler.forget_ended)
+        self._garbage_collector = GarbageCollector(
+            context=self.context, on_removed=scheduler.forget_ended
+        )
         self._fleet = Fleet(
             context=self.context,
             log=self.log,
@@ -190,7 +192,7 @@
             context=self.context,
             log=self.log,
             scheduler=scheduler,
-            janitor=self._janitor,
+            garbage_collector=self._garbage_collector,
             relay_dispatcher=self._relay_dispatcher,
         )
         self.act(self._intake.take_over(state))
@@ -236,7 +238,7 @@
         return readings_at_once(self.context.settings.link_mbps, n_failed)
 
     def _sweep(self):
-        return self._janitor.sweep() if self._janitor is not None else None
+        return self._garbage_collector.sweep() if self._garbage_collector is not None else None
 
     def deposed(self):
         """Another home has begun."""
@@ -259,7 +261,9 @@
             self._fleet.close()
         if self._recorder is not None:
             self._recorder.close()
-        self._recorder = self._scheduler = self._janitor = self._fleet = self._intake = None
+        self._recorder = self._scheduler = self._garbage_collector = self._fleet = self._intake = (
+            None
+        )
         self._relay_dispatcher = None
         if self._calls is not None:
             self._calls.close()
@@ -470,8 +474,8 @@
         self.changed()
         self._fleet.acknowledge()
         for job in ended:
-            self._janitor.add(job.job_id, self.context.wall_clock())
-            self._janitor.shorten(job)
+            self._garbage_collector.add(job.job_id, self.context.wall_clock())
+            self._garbage_collector.shorten(job)
             self._relay_dispatcher.forget_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
--- a/anvilflow/cell/tests/test_janitor.py
+++ b/anvilflow/cell/tests/test_janitor.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from anvilflow.cell._janitor import SWEEP_S, Janitor
+from anvilflow.cell._garbage_collector import SWEEP_S, GarbageCollector
 from anvilflow.cell._tables import job_part
 
 from ._helpers import JOB, end_and_start_all, make_cell
@@ -26,7 +26,7 @@
 def test_row_of_a_job_that_has_ended_is_short(monkeypatch, safeguard):
     """A new home reads the rows of all jobs of two minutes before it starts anything."""
     if not safeguard:
-        monkeypatch.setattr(Janitor, "shorten", lambda self, job: None)
+        monkeypatch.setattr(GarbageCollector, "shorten", lambda self, job: None)
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(2 * SWEEP_S)
