--- a/anvilflow/cell/_advisers.py
+++ b/anvilflow/cell/_advice_dispatcher.py
@@ -11,7 +11,7 @@
 REST_S = 1.0
 
 
-class Advisers:
+class AdviceDispatcher:
     """Chooses the instance that asks next.
 
     The service takes one call at a time of each calling machine, and a call for heavy work takes
@@ -28,7 +28,7 @@
         self._rested = {}
 
     @property
-    def n_advisers(self):
+    def n_advice_callers(self):
         """Instances that can ask."""
         return 1 + len(self.context.links.peers) if self.context.links is not None else 1
 
@@ -47,7 +47,7 @@
         if name == self.context.name:
             done = self.context.advice.ask(step, workers)
         else:
-            done = self.context.links.ask_advice(name, TIMEOUT_S, step=step, workers=workers)
+            done = self.context.links.request_advice(name, TIMEOUT_S, step=step, workers=workers)
             done.addCallback(_advice_of)
         done.addErrback(self._failed, name)
         done.addBoth(self._over, name, length_s)
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -330,12 +330,12 @@
         if worker is not None:
             worker.lease_sent(sent_at, LEASE_S)
 
-    def worker_reported(self, worker_id, report, asked_at):
+    def worker_reported(self, worker_id, report, requested_at):
         """Take a worker's answer to a hold."""
         worker = self.scheduler.workers.get(worker_id)
         if worker is None:
             return
-        self._heard_at[worker_id] = asked_at
+        self._heard_at[worker_id] = requested_at
         if worker.silent or not worker.confirmed:
             self.log.info("worker answers", worker=worker_id, active=len(report.active))
         for end in report.ended:
@@ -352,7 +352,7 @@
         is_news = bool(report.ended) or worker.silent or not worker.confirmed
         n_runs = len(worker.runs)
         self.events.act(
-            self.scheduler.report(worker_id, report, asked_at=asked_at, now=self._now())
+            self.scheduler.report(worker_id, report, requested_at=requested_at, now=self._now())
         )
         if report.ended:
             self.events.ends_told()
--- a/anvilflow/cell/_follower.py
+++ b/anvilflow/cell/_follower.py
@@ -56,7 +56,7 @@
             is_quick = self.context.clock.seconds() < quick_until
             pause = min(QUICK_PAUSE_S, self.pause_s) if is_quick else self.pause_s
             is_whole = version is None
-            asked_at = self.context.clock.seconds()
+            requested_at = self.context.clock.seconds()
             try:
                 if is_whole:
                     rows, version = yield self.read()
@@ -71,7 +71,7 @@
                 pause = AGAIN_S
                 continue
             if not self.closed:
-                self.take(rows, is_whole, version, asked_at)
+                self.take(rows, is_whole, version, requested_at)
 
     def _changes(self, version):
         return self.context.store.follow(self.table, version, wait_s=self.wait_s)
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -4,10 +4,10 @@
 
 from ..exceptions import PlatformError, TaskCrashesWorkersError
 from ..jobs import (
-    AskAdvice,
     NoteCrashingTask,
     NoteLostWorker,
     NoteWait,
+    RequestAdvice,
     SetPace,
     StartRun,
     StopRun,
@@ -15,7 +15,7 @@
 from ..platform import REGISTRY_TABLE
 from ..runtime import Part
 from ..utils import jitter, to_builtins
-from ._advisers import Advisers
+from ._advice_dispatcher import AdviceDispatcher
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
@@ -68,7 +68,7 @@
         self._claimed = None
         self._scheduler = None
         self._recorder = None
-        self._advisers = None
+        self._advice_dispatcher = None
         self._relay_dispatcher = None
         self._fleet = None
         self._followers = []
@@ -159,7 +159,7 @@
         if self.context.config is not None:
             scheduler.configure(self.context.config)
         self._scheduler = scheduler
-        self._advisers = Advisers(context=self.context)
+        self._advice_dispatcher = AdviceDispatcher(context=self.context)
         self._relay_dispatcher = RelayDispatcher(context=self.context, log=self.log)
         self._garbage_collector = GarbageCollector(
             context=self.context, on_removed=scheduler.forget_ended
@@ -348,11 +348,11 @@
         for follower, version in zip(self._followers, (jobs_version, workers_version), strict=True):
             follower.run(version).addErrback(self.fail_with)
 
-    def _take_jobs(self, rows, _, version, asked_at):
+    def _take_jobs(self, rows, _, version, requested_at):
         self._intake.known_up_to(version)
         for row in rows:
             self.act(self._intake.take(row))
-        self._scheduler.jobs_read(asked_at)
+        self._scheduler.jobs_read(requested_at)
         self._fleet.acknowledge()
         self._recorder.hurry()
         self.changed()
@@ -392,7 +392,7 @@
         if scheduler is None or not self._loaded or not self._fleet.may_send_commands():
             return
         scheduler.is_store_away = self.is_store_away
-        scheduler.n_advisers = self._advisers.n_advisers
+        scheduler.n_advice_callers = self._advice_dispatcher.n_advice_callers
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_starts():
             self.context.meters.timed("first_start", seconds)
@@ -411,8 +411,8 @@
             return
         for action in actions:
             match action:
-                case AskAdvice():
-                    self._ask_advice(action)
+                case RequestAdvice():
+                    self._request_advice(action)
                 case StartRun():
                     self._fleet.start(action)
                 case StopRun():
@@ -439,27 +439,29 @@
         )
         self.log.warning("job failed", **to_builtins(note), error=str(cause))
 
-    def _ask_advice(self, action):
-        done = self._advisers.ask(action.step, action.workers, action.length_s)
-        done.addCallback(self._advised, action, self._scheduler, self.now)
+    def _request_advice(self, action):
+        done = self._advice_dispatcher.ask(action.step, action.workers, action.length_s)
+        done.addCallback(self._advice_received, action, self._scheduler, self.now)
         done.addErrback(self.fail_with)
 
-    def _advised(self, advice, action, scheduler, asked_at):
+    def _advice_received(self, advice, action, scheduler, requested_at):
         if self._scheduler is not scheduler:
             return
-        self.context.meters.timed("advice", self.now - asked_at)
+        self.context.meters.timed("advice", self.now - requested_at)
         if advice is None:
-            scheduler.advised(action.step, action.workers, None, 0.0, self.now)
+            scheduler.advice_received(action.step, action.workers, None, 0.0, self.now)
         else:
             # The ticket's time runs from its making, which is at most the call's length ago.
             valid_until = self.now + advice.valid_s
-            scheduler.advised(action.step, action.workers, advice.tickets, valid_until, self.now)
+            scheduler.advice_received(
+                action.step, action.workers, advice.tickets, valid_until, self.now
+            )
         self.log.debug(
             "advice",
             step=action.step,
             asked=len(action.workers),
             good=len(advice.tickets) if advice is not None else None,
-            took_s=round(self.now - asked_at, 3),
+            took_s=round(self.now - requested_at, 3),
         )
         self.changed()
 
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -270,7 +270,7 @@
             return fail(NotReadyError("no home is known"))
         return self._call(self.leader_link, JobCall, timeout, values)
 
-    def ask_advice(self, instance, timeout, **values):
+    def request_advice(self, instance, timeout, **values):
         """Make an :class:`AdviceCall` to an instance that is connected here."""
         link = self.peers.get(instance)
         if link is None:
--- a/anvilflow/cell/_waiting.py
+++ b/anvilflow/cell/_waiting.py
@@ -125,8 +125,8 @@
     def _refresh_if_old(self):
         if self.is_fresh:
             return
-        asked_at, version = self.context.clock.seconds(), self._version
-        if asked_at - self._told_at > MAX_SILENCE_S:
+        requested_at, version = self.context.clock.seconds(), self._version
+        if requested_at - self._told_at > MAX_SILENCE_S:
             raise _not_known("no home has told for too long")
         self._check_store()
         try:
@@ -139,7 +139,7 @@
             return
         self._counts.update(accepted)
         self._version = newest
-        self._known_at = asked_at
+        self._known_at = requested_at
 
     @inlineCallbacks
     def _read_since(self, version):
--- a/anvilflow/cell/tests/test_whole_path.py
+++ b/anvilflow/cell/tests/test_whole_path.py
@@ -95,11 +95,11 @@
     cell = make_cell(n_workers=2, cpu=10_000, policy=policy)
     cell.submit("a0", JOB, {"count": 40, "cpu": 1000}, queue="bulk", spec="5.0 done 1000")
     cell.advance(1.0)
-    asked_at = cell.clock.seconds()
+    requested_at = cell.clock.seconds()
     cell.submit("a1", "00000000000000a2", {"count": 2, "cpu": 1000}, spec="0.5 done 1000")
     cell.advance(4.5)
     urgent = [span for span in cell.spans if span.task.startswith("00000000000000a2")]
-    waits = [span.began_at - asked_at for span in urgent]
+    waits = [span.began_at - requested_at for span in urgent]
     assert (len(waits) == 2 and max(waits) < 0.05) is safeguard
 
 
@@ -250,11 +250,11 @@
     cell.advance(0.2)
     if safeguard:
         advice.base_s = 0.05
-    asked_at = cell.clock.seconds()
+    requested_at = cell.clock.seconds()
     cell.submit("a1", JOB, {"count": 1, "cpu": 1000})
     cell.advance(1.5)
     [span] = cell.runs_of(f"{JOB}.0.0.0")
-    assert (span.began_at - asked_at < 0.15) is safeguard
+    assert (span.began_at - requested_at < 0.15) is safeguard
 
 
 def test_rows_of_ended_jobs_are_removed_after_their_time():
--- a/anvilflow/jobs/__init__.py
+++ b/anvilflow/jobs/__init__.py
@@ -1,10 +1,10 @@
 """Jobs of a cell: what clients submit and what is decided next, without input or output."""
 
 from ._actions import (
-    AskAdvice,
     NoteCrashingTask,
     NoteLostWorker,
     NoteWait,
+    RequestAdvice,
     SetPace,
     StartRun,
     StopRun,
@@ -23,7 +23,6 @@
     "COMMAND_S",
     "ENDED_STATES",
     "AdviceRules",
-    "AskAdvice",
     "CellConfig",
     "CrashHistory",
     "EndedJob",
@@ -40,6 +39,7 @@
     "NoteLostWorker",
     "NoteWait",
     "Queue",
+    "RequestAdvice",
     "RunEnd",
     "RunReport",
     "Scheduler",
--- a/anvilflow/jobs/_actions.py
+++ b/anvilflow/jobs/_actions.py
@@ -32,7 +32,7 @@
     percent: int
 
 
-class AskAdvice(Struct, kw_only=True):
+class RequestAdvice(Struct, kw_only=True):
     """Ask which of some workers may run a step; `length_s` is how long the answer takes."""
 
     step: str
--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -1,6 +1,6 @@
 """For which steps to ask advice, and about which workers."""
 
-from ._actions import AskAdvice
+from ._actions import RequestAdvice
 from ._job import TaskState
 from ._sickness import is_slow
 
@@ -86,7 +86,7 @@
         return []
     length = rules.base_s + rules.per_worker_s * len(names)
     scheduler.asking[step.key] = (now, length)
-    return [AskAdvice(step=step.key, workers=names, length_s=length)]
+    return [RequestAdvice(step=step.key, workers=names, length_s=length)]
 
 
 def ask_held(scheduler, now):
@@ -106,8 +106,8 @@
     is_long = length > LONG_ASK_S
     n_same = sum((other > LONG_ASK_S) == is_long for _, other in scheduler.asking.values())
     if is_long:
-        return n_same < max(1, int(scheduler.policy.long_ask_share * scheduler.n_advisers))
-    return n_same < ASKS_PER_ADVISER * scheduler.n_advisers
+        return n_same < max(1, int(scheduler.policy.long_ask_share * scheduler.n_advice_callers))
+    return n_same < ASKS_PER_ADVISER * scheduler.n_advice_callers
 
 
 # Which workers
--- a/anvilflow/jobs/_run_book.py
+++ b/anvilflow/jobs/_run_book.py
@@ -49,10 +49,10 @@
 
     # Reports
 
-    def report(self, worker_id, report, *, asked_at, now):
-        """Take a worker's answer to a hold that was sent at `asked_at`; return the stops.
+    def report(self, worker_id, report, *, requested_at, now):
+        """Take a worker's answer to a hold that was sent at `requested_at`; return the stops.
 
-        Runs that were started or stopped after `asked_at` may be missing in it for that reason.
+        Runs that were started or stopped after `requested_at` may be missing in it for that reason.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -74,7 +74,7 @@
         is_whole = len(report.ended) < ENDS_PER_REPORT
         for run in list(worker.runs.values()) if is_whole else ():
             answered = run.state in ("running", "barred")
-            if answered and run.sent_at < asked_at and (run.task, run.run_id) not in listed:
+            if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
                 self._drop_run(run, now)
         self.note_survivals(worker, now)
         self._hear(worker, now)
@@ -367,7 +367,7 @@
             run.state = "barred"
             run.sent_at = now
 
-    def advised(self, step_key, asked, tickets, valid_until, now):
+    def advice_received(self, step_key, asked, tickets, valid_until, now):
         """Take the answer to an ask; `tickets` by worker is None when there was no answer."""
         self.asking.pop(step_key, None)
         job = self.jobs.get(step_key.split(".", 1)[0])
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -30,7 +30,7 @@
         Length of the leases that are sent, and the longest time that a stop takes. Unit: seconds.
     now : float
         When this home took over. Unit: seconds.
-    n_advisers : int, default=1
+    n_advice_callers : int, default=1
         Advice calls that may be under way at once.
     grace_period : GracePeriod, default=None
         What is left of earlier homes; None: what only the term tells.
@@ -46,12 +46,12 @@
     """
 
     def __init__(
-        self, *, term, lease_s, now, stop_s=0.9, n_advisers=1, grace_period=None, policy=None
+        self, *, term, lease_s, now, stop_s=0.9, n_advice_callers=1, grace_period=None, policy=None
     ):
         super().__init__(
             term=term, lease_s=lease_s, stop_s=stop_s, now=now, grace_period=grace_period
         )
-        self.n_advisers = n_advisers
+        self.n_advice_callers = n_advice_callers
         self.policy = policy or SchedulingPolicy()
         self.reservations = Reservations(self.policy)
         self.config = None
@@ -98,9 +98,9 @@
             return queue
         return self.config.queue_named(queue.name) or queue
 
-    def jobs_read(self, asked_at):
-        """Note that all jobs are known which were accepted before `asked_at`. Unit: seconds."""
-        self._jobs_known_at = asked_at
+    def jobs_read(self, requested_at):
+        """Note that all jobs are known which were accepted before `requested_at`. Unit: seconds."""
+        self._jobs_known_at = requested_at
 
     def cancel_job(self, job_id, now):
         """Cancel a job; return the stops of its runs."""
--- a/anvilflow/jobs/tests/test_advice.py
+++ b/anvilflow/jobs/tests/test_advice.py
@@ -4,10 +4,10 @@
 
 from anvilflow.jobs import (
     AdviceRules,
-    AskAdvice,
     CellConfig,
     JobSpec,
     Queue,
+    RequestAdvice,
     Scheduler,
     SchedulingPolicy,
     StartRun,
@@ -29,13 +29,13 @@
 def make_cell(n_workers, **policy):
     """Return a scheduler with workers of ten cores in racks of ten."""
     scheduler = Scheduler(
-        term=1, lease_s=3.0, now=0.0, n_advisers=20, policy=SchedulingPolicy(**policy)
+        term=1, lease_s=3.0, now=0.0, n_advice_callers=20, policy=SchedulingPolicy(**policy)
     )
     scheduler.configure(CellConfig(version=1, queues=(QUEUE,)))
     for number in range(n_workers):
         info = make_worker_info(number, rack=f"r{number // 10}")
         scheduler.worker_listed(info, 0.0)
-        scheduler.report(info.worker_id, make_report(), asked_at=0.0, now=0.0)
+        scheduler.report(info.worker_id, make_report(), requested_at=0.0, now=0.0)
     return scheduler
 
 
@@ -43,14 +43,14 @@
     """Submit a job; return the ask that follows, or None."""
     spec = JobSpec(job_id=f"{number:016x}", queue="asks", payload="", steps=(step,))
     scheduler.add_job(spec, QUEUE, version=1, now=now, wall_now=now)
-    asks = [each for each in scheduler.plan(now, now) if isinstance(each, AskAdvice)]
+    asks = [each for each in scheduler.plan(now, now) if isinstance(each, RequestAdvice)]
     return asks[0] if asks else None
 
 
 def allow(scheduler, ask, n_allowed, now=0.0):
     """Answer an ask: the first workers are allowed; return the starts that follow."""
     tickets = dict.fromkeys(ask.workers[:n_allowed], "ticket")
-    scheduler.advised(ask.step, ask.workers, tickets, now + RULES.valid_s, now)
+    scheduler.advice_received(ask.step, ask.workers, tickets, now + RULES.valid_s, now)
     return [each for each in scheduler.plan(now, now) if isinstance(each, StartRun)]
 
 
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -51,13 +51,13 @@
     actions = scheduler.worker_ended(worker_id, now, is_replaced=True)
     successor = f"w{next(_numbers)}"
     scheduler.worker_listed(make_worker_info(0, worker_id=successor, address=address), now)
-    scheduler.report(successor, make_report(), asked_at=now, now=now)
+    scheduler.report(successor, make_report(), requested_at=now, now=now)
     return actions
 
 
 def _list_run(scheduler, start, now):
     active = RunReport(task=start.task, run_id=start.run_id, checkpoint="", percent=1.0, load=0.0)
-    scheduler.report(start.worker_id, make_report([active], clock_s=now), asked_at=now, now=now)
+    scheduler.report(start.worker_id, make_report([active], clock_s=now), requested_at=now, now=now)
 
 
 def _list_worker_runs(scheduler, start, starts, now):
@@ -67,7 +67,7 @@
         for each in starts
         if each.worker_id == start.worker_id
     ]
-    scheduler.report(start.worker_id, make_report(active, clock_s=now), asked_at=now, now=now)
+    scheduler.report(start.worker_id, make_report(active, clock_s=now), requested_at=now, now=now)
 
 
 def _state(scheduler, job_id=JOB):
@@ -114,7 +114,7 @@
     scheduler.worker_silent(start.worker_id, 0.1)
     scheduler.lost_leases(9.0)
     assert list(scheduler.suspects) == [TASK]
-    scheduler.report(start.worker_id, make_report(), asked_at=9.5, now=9.5)
+    scheduler.report(start.worker_id, make_report(), requested_at=9.5, now=9.5)
     scheduler.review_suspects(9.6)
     assert not scheduler.suspects
 
@@ -308,7 +308,7 @@
     scheduler.add_job(job.spec, job.queue, version=1, now=now, wall_now=now, record=job.to_record())
     address = former.workers[start.worker_id].info.address
     scheduler.worker_listed(make_worker_info(0, worker_id="w99", address=address), now)
-    scheduler.report("w99", make_report(), asked_at=now, now=now)
+    scheduler.report("w99", make_report(), requested_at=now, now=now)
     actions = scheduler.plan(now + 0.5, now + 0.5)
     assert _state(scheduler) == state
     is_failed = NoteCrashingTask in {type(action) for action in actions}
@@ -329,7 +329,7 @@
     scheduler.add_job(job.spec, job.queue, version=1, now=1.0, wall_now=1.0, record=job.to_record())
     address = former.workers[start.worker_id].info.address
     scheduler.worker_listed(make_worker_info(0, worker_id="w99", address=address), 1.0)
-    scheduler.report("w99", make_report(), asked_at=1.0, now=1.0)
+    scheduler.report("w99", make_report(), requested_at=1.0, now=1.0)
     scheduler.plan(1.5, 1.5)
     assert _state(scheduler) is JobState.RUNNING
 
--- a/anvilflow/jobs/tests/test_load.py
+++ b/anvilflow/jobs/tests/test_load.py
@@ -53,7 +53,7 @@
         kinds=make_wide_kinds(1.0),
         workers=make_wide_workers(),
         policy=policy,
-        n_advisers=97,
+        n_advice_callers=97,
         length_s=12.0,
         random_state=random_state,
     )
--- a/anvilflow/jobs/tests/test_plans.py
+++ b/anvilflow/jobs/tests/test_plans.py
@@ -25,7 +25,7 @@
     """Let the worker of a run tell that the run is done."""
     end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="done", checkpoint="")
     report = make_report([], [end], clock_s=now)
-    scheduler.report(start.worker_id, report, asked_at=now, now=now)
+    scheduler.report(start.worker_id, report, requested_at=now, now=now)
 
 
 def plan_starts(scheduler, now):
@@ -89,7 +89,7 @@
     submit(scheduler, "00000000000000d2", FIRST, whole, 0.0)
     end = RunEnd(number=1, task=running[0].task, run_id=1, how="done", checkpoint="")
     report = make_report([item(running[1], 10)], [end], clock_s=0.01)
-    scheduler.report("w0", report, asked_at=0.01, now=0.01)
+    scheduler.report("w0", report, requested_at=0.01, now=0.01)
     assert plan_starts(scheduler, 0.01) == []
     assert submit(scheduler, "00000000000000d3", LAST, small, 0.02) == []
 
@@ -99,7 +99,7 @@
     scheduler = make_cell(1)
     scheduler.worker_silent("w0", 0.0)
     assert submit(scheduler, "00000000000000e1", FIRST, LARGE, 0.0) == []
-    scheduler.report("w0", make_report(), asked_at=0.01, now=0.01)
+    scheduler.report("w0", make_report(), requested_at=0.01, now=0.01)
     assert len(plan_starts(scheduler, 0.01)) == 1
 
 
--- a/anvilflow/jobs/tests/test_reservations.py
+++ b/anvilflow/jobs/tests/test_reservations.py
@@ -26,7 +26,7 @@
     scheduler.configure(CellConfig(version=1, queues=(FIRST, LAST)))
     for number in range(n_workers):
         scheduler.worker_listed(make_worker_info(number), 0.0)
-        scheduler.report(f"w{number}", make_report(), asked_at=0.0, now=0.0)
+        scheduler.report(f"w{number}", make_report(), requested_at=0.0, now=0.0)
     return scheduler
 
 
@@ -47,7 +47,7 @@
     end = RunEnd(number=number, task=run.task, run_id=run.run_id, how="done", checkpoint="")
     active = [item(other, 10) for other in others]
     report = make_report(active, [end], clock_s=now)
-    scheduler.report("w0", report, asked_at=now, now=now)
+    scheduler.report("w0", report, requested_at=now, now=now)
     started = starts_of(scheduler.plan(now, now))
     answer_started(scheduler, started, now)
     return started
@@ -121,7 +121,7 @@
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, order, 0.0))
     answer_started(scheduler, running, 0.0)
     report = make_report([item(start, 80) for start in running], clock_s=1.6)
-    scheduler.report("w0", report, asked_at=1.6, now=1.6)
+    scheduler.report("w0", report, requested_at=1.6, now=1.6)
     lookup = StepSpec(n_tasks=1, cpu_milli=2000, estimate_s=1.0)
     actions = submit(scheduler, "00000000000000a1", FIRST, lookup, 1.6)
     assert [action for action in actions if isinstance(action, StopRun)] == []
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -46,7 +46,7 @@
     scheduler.configure(CellConfig(version=1, queues=(QUEUE,)))
     for number in range(n_workers):
         scheduler.worker_listed(make_worker_info(number, **values), 0.0)
-        scheduler.report(f"w{number}", make_report(), asked_at=0.0, now=0.0)
+        scheduler.report(f"w{number}", make_report(), requested_at=0.0, now=0.0)
     return scheduler
 
 
@@ -81,7 +81,7 @@
     for number, percent in enumerate(percents, start=1):
         now = number * period
         report = make_report([item(start, percent, load)], clock_s=now)
-        actions += scheduler.report(start.worker_id, report, asked_at=now, now=now)
+        actions += scheduler.report(start.worker_id, report, requested_at=now, now=now)
         actions += scheduler.plan(now, now)
     return actions
 
@@ -114,7 +114,7 @@
     [start, other] = add_job(scheduler, step)
     answer_started(scheduler, [start, other], 0.0)
     end = RunEnd(number=1, task=other.task, run_id=1, how="done", checkpoint="")
-    scheduler.report(other.worker_id, make_report(ended=[end]), asked_at=0.9, now=0.9)
+    scheduler.report(other.worker_id, make_report(ended=[end]), requested_at=0.9, now=0.9)
     actions = watch(scheduler, start, [2, 4, 6, 8, 10, 12])
     assert [action.why for action in actions if isinstance(action, StopRun)] == ["slow"]
 
@@ -129,7 +129,7 @@
         now = number * 0.5
         for start in starts:
             report = make_report([item(start, 2 * number)], clock_s=now)
-            scheduler.report(start.worker_id, report, asked_at=now, now=now)
+            scheduler.report(start.worker_id, report, requested_at=now, now=now)
         assert scheduler.plan(now, now) == []
 
 
@@ -144,7 +144,7 @@
     assert copy.worker_id != start.worker_id
     assert not [action for action in actions if isinstance(action, StopRun)]
     end = RunEnd(number=1, task=copy.task, run_id=copy.run_id, how="done", checkpoint="")
-    stops = scheduler.report(copy.worker_id, make_report(ended=[end]), asked_at=3.0, now=3.0)
+    stops = scheduler.report(copy.worker_id, make_report(ended=[end]), requested_at=3.0, now=3.0)
     assert [stop.worker_id for stop in stops] == [start.worker_id]
 
 
@@ -168,7 +168,7 @@
         end = RunEnd(
             number=number, task=start.task, run_id=start.run_id, how="failed", checkpoint=""
         )
-        scheduler.report("w0", make_report(ended=[end]), asked_at=now, now=now)
+        scheduler.report("w0", make_report(ended=[end]), requested_at=now, now=now)
         rests.append(max(0.0, worker.retry_at - now))
         scheduler.cancel_job(job_id, now)
     assert rests == [0.0, 0.5, 1.0, 2.0]
@@ -193,7 +193,7 @@
 
     def report(now, tail_ms):
         active = [item(serve, 100, tail_ms), item(fill, 10)]
-        actions = scheduler.report("w0", make_report(active), asked_at=now, now=now)
+        actions = scheduler.report("w0", make_report(active), requested_at=now, now=now)
         return [action.percent for action in actions if isinstance(action, SetPace)]
 
     assert report(1.0, 150.0 if late else 80.0) == ([0] if late else [])
@@ -214,10 +214,10 @@
     scheduler.add_job(spec, QUEUE, version=1, now=0.0, wall_now=0.0, record=record)
     task = "00000000000000a1.0.0.0"
     again = RunEnd(number=7, task=task, run_id=2, how="failed", checkpoint="")
-    scheduler.report("w0", make_report(ended=[again]), asked_at=0.1, now=0.1)
+    scheduler.report("w0", make_report(ended=[again]), requested_at=0.1, now=0.1)
     assert str(scheduler.state_of("00000000000000a1")) == "running"
     last = RunEnd(number=8, task=task, run_id=3, how="failed", checkpoint="")
-    scheduler.report("w0", make_report(ended=[last]), asked_at=0.2, now=0.2)
+    scheduler.report("w0", make_report(ended=[last]), requested_at=0.2, now=0.2)
     assert str(scheduler.jobs["00000000000000a1"].state) == "failed"
 
 
@@ -232,7 +232,7 @@
     [start] = add_job(scheduler, step)
     answer_started(scheduler, [start], 0.0)
     report = make_report([item(start, percent)], clock_s=1.0)
-    scheduler.report(start.worker_id, report, asked_at=1.0, now=1.0)
+    scheduler.report(start.worker_id, report, requested_at=1.0, now=1.0)
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=left_s), 1.0)
     stops = [action.why for action in scheduler.plan(1.0, 1.0) if isinstance(action, StopRun)]
@@ -250,7 +250,7 @@
     [stop] = scheduler.plan(3.1, 3.1)
     assert stop.why == "worker leaves"
     end = RunEnd(number=1, task=start.task, run_id=1, how="stopped", checkpoint="")
-    scheduler.report(start.worker_id, make_report(ended=[end]), asked_at=3.5, now=3.5)
+    scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=3.5, now=3.5)
     [again] = scheduler.plan(3.5, 3.5)
     assert again.worker_id != start.worker_id
 
@@ -285,7 +285,7 @@
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=0.5), 0.0)
     scheduler.worker_silent(start.worker_id, 0.6, nobody_listens=True)
-    scheduler.report(start.worker_id, make_report([item(start, 10)]), asked_at=0.7, now=0.7)
+    scheduler.report(start.worker_id, make_report([item(start, 10)]), requested_at=0.7, now=0.7)
     scheduler.worker_unlisted(start.worker_id)
     scheduler.workers[start.worker_id].lease_over_at = 99.0
     assert scheduler.plan(1.0, 1.0) == []
@@ -304,7 +304,7 @@
     [second] = [item for item in scheduler.plan(9.0, 9.0) if isinstance(item, StartRun)]
     for start, now in ((second, 10.0), (first, 11.0)):
         end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="failed", checkpoint="")
-        scheduler.report(start.worker_id, make_report(ended=[end]), asked_at=now, now=now)
+        scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=now, now=now)
     _, task = scheduler.find_task(first.task)
     assert task.failed_runs == {1, 2}
 
@@ -323,7 +323,7 @@
         RunEnd(number=number, task="f" * 16 + ".0.0.0", run_id=1, how="done", checkpoint="")
         for number in range(1, n_ends + 1)
     ]
-    scheduler.report("w0", make_report(ended=ends), asked_at=1.0, now=1.0)
+    scheduler.report("w0", make_report(ended=ends), requested_at=1.0, now=1.0)
     again = [item for item in scheduler.plan(1.0, 1.0) if isinstance(item, StartRun)]
     assert bool(again) is (n_ends < 500)
 
@@ -376,7 +376,7 @@
     answer_started(scheduler, [start], 0.0)
     assert scheduler.plan(0.01, 0.01) == []
     end = RunEnd(number=1, task=start.task, run_id=1, how="failed", checkpoint="")
-    scheduler.report(start.worker_id, make_report(ended=[end]), asked_at=0.5, now=0.5)
+    scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=0.5, now=0.5)
     [again] = scheduler.plan(0.5, 0.5)
     assert again.run_id == 2
 
@@ -394,7 +394,7 @@
     job_id = start.task.split(".")[0]
     scheduler.cancel_job(job_id, 0.5)
     end = RunEnd(number=1, task=start.task, run_id=1, how="done", checkpoint="")
-    scheduler.report("w0", make_report([item(other, 10)], [end]), asked_at=0.6, now=0.6)
+    scheduler.report("w0", make_report([item(other, 10)], [end]), requested_at=0.6, now=0.6)
     worker = scheduler.workers["w0"]
     assert scheduler.acknowledged(worker) == 0
     scheduler.recorded(job_id, scheduler.jobs[job_id].change, 0.7)
@@ -417,7 +417,7 @@
     ]
     for start, end in zip(starts, ends, strict=True):
         report = make_report((), (end,) if start is not last or outcome == "unknown" else ())
-        scheduler.report(start.worker_id, report, asked_at=0.5, now=0.5)
+        scheduler.report(start.worker_id, report, requested_at=0.5, now=0.5)
     again = [each for each in scheduler.plan(9.0, 9.0) if isinstance(each, StartRun)]
     assert {start.task for start in again} == {start.task for start in starts}
     assert {start.run_id for start in again} == {2}
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -21,7 +21,7 @@
     actions = []
     for start, percent in percents:
         report = make_report([item(start, percent)], clock_s=now if clock_s is None else clock_s)
-        actions += scheduler.report(start.worker_id, report, asked_at=now, now=now)
+        actions += scheduler.report(start.worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
 
 
@@ -119,7 +119,7 @@
         if stops(actions):
             scheduler.stop_answered(start.worker_id, start.task, start.run_id, now)
             report = make_report(clock_s=now + 0.1)
-            scheduler.report(start.worker_id, report, asked_at=now + 0.1, now=now + 0.1)
+            scheduler.report(start.worker_id, report, requested_at=now + 0.1, now=now + 0.1)
             actions = scheduler.plan(now + 0.2, now + 0.2)
         for action in actions:
             if isinstance(action, StartRun):
@@ -160,7 +160,7 @@
         run.is_whole = False
         run.resumes = kind == "resumed"
         end = RunEnd(number=1, task=start.task, run_id=1, how="done", checkpoint="")
-        scheduler.report(start.worker_id, make_report(ended=[end]), asked_at=0.1, now=0.1)
+        scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=0.1, now=0.1)
     assert report_all(scheduler, [(first, 5), (second, 5)], 0.3) == []
     assert report_all(scheduler, [(first, 12), (second, 12)], 0.7) == []
 
@@ -173,7 +173,7 @@
     )
     scheduler.add_job(spec, QUEUE, version=1, now=0.0, wall_now=0.0)
     listed = RunReport(task="00000000000000a1.0.0.0", run_id=1, checkpoint="", percent=90, load=0.0)
-    scheduler.report("w0", make_report([listed]), asked_at=0.1, now=0.1)
+    scheduler.report("w0", make_report([listed]), requested_at=0.1, now=0.1)
     _, task = scheduler.find_task("00000000000000a1.0.0.1")
     task.checkpoint = "c"
     scheduler.plan(0.2, 0.2)
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -16,7 +16,7 @@
 def _hear(scheduler, worker_id, now, *, active=(), ended=()):
     """Let a worker report; return what follows, with the next plan."""
     report = make_report(active, ended, clock_s=now)
-    actions = scheduler.report(worker_id, report, asked_at=now, now=now)
+    actions = scheduler.report(worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
 
 
--- a/anvilflow/jobs/tests/test_unknown_tasks.py
+++ b/anvilflow/jobs/tests/test_unknown_tasks.py
@@ -28,7 +28,7 @@
 
 def tell(scheduler, *ends, now=0.1, worker_id="w0"):
     """Let a worker tell of ends; return the number up to which it may forget them."""
-    scheduler.report(worker_id, make_report(ended=ends), asked_at=now, now=now)
+    scheduler.report(worker_id, make_report(ended=ends), requested_at=now, now=now)
     return scheduler.acknowledged(scheduler.workers[worker_id])
 
 
@@ -155,7 +155,7 @@
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.5)
     run = RunReport(task=TASK, run_id=1, checkpoint="", percent=5, load=0.0)
-    assert scheduler.report("w0", make_report([run]), asked_at=0.1, now=0.1) == []
+    assert scheduler.report("w0", make_report([run]), requested_at=0.1, now=0.1) == []
     assert not _starts(scheduler.plan(0.6, 100.1))
     assert list(scheduler.workers["w0"].runs) == [TASK]
 
--- a/anvilflow/standins/_load_play.py
+++ b/anvilflow/standins/_load_play.py
@@ -9,10 +9,10 @@
 from msgspec import Struct
 
 from ..jobs import (
-    AskAdvice,
     CellConfig,
     JobSpec,
     JobState,
+    RequestAdvice,
     RunEnd,
     RunReport,
     Scheduler,
@@ -85,7 +85,7 @@
     policy : SchedulingPolicy, default=None
     length_s : float
         How long jobs come. Unit: seconds.
-    n_advisers : int, default=7
+    n_advice_callers : int, default=7
         Instances that carry asks for advice, one at a time each.
     speeds : dict of str to float, default=None
         Speed of workers that are slow, in parts of a sound one's.
@@ -99,7 +99,7 @@
         workers,
         policy=None,
         length_s=40.0,
-        n_advisers=7,
+        n_advice_callers=7,
         speeds=None,
         random_state=0,
     ):
@@ -116,9 +116,9 @@
         self._runs = {worker.worker_id: {} for worker in workers}
         self._ended = {worker.worker_id: [] for worker in workers}
         self._n_ended = Counter()
-        self._advisers = [0.0] * n_advisers
+        self._advisers = [0.0] * n_advice_callers
         self.scheduler = Scheduler(
-            term=1, lease_s=_LEASE_S, now=0.0, n_advisers=n_advisers, policy=policy
+            term=1, lease_s=_LEASE_S, now=0.0, n_advice_callers=n_advice_callers, policy=policy
         )
         queues = tuple(kind.queue for kind in kinds)
         self.scheduler.configure(CellConfig(version=1, queues=queues))
@@ -233,7 +233,7 @@
                 case StopRun():
                     self.stops[action.why] += 1
                     self._at(self.now + WAY_S, self._stop, action)
-                case AskAdvice():
+                case RequestAdvice():
                     self._ask(action)
 
     def _start(self, action):
@@ -308,8 +308,10 @@
             for run in self._runs[worker_id].values()
         )
         report = WorkerReport(clock_s=self.now, active=active, ended=tuple(ended))
-        asked_at = self.now - WAY_S
-        self._carry_out(self.scheduler.report(worker_id, report, asked_at=asked_at, now=self.now))
+        requested_at = self.now - WAY_S
+        self._carry_out(
+            self.scheduler.report(worker_id, report, requested_at=requested_at, now=self.now)
+        )
         if ended:
             self._settle()
             self._plan()
@@ -333,7 +335,9 @@
         allowed = self._allowed(action.step, job.kind.good)
         tickets = {worker_id: "ticket" for worker_id in action.workers if worker_id in allowed}
         valid_s = job.kind.queue.advice.valid_s
-        self.scheduler.advised(action.step, action.workers, tickets, self.now + valid_s, self.now)
+        self.scheduler.advice_received(
+            action.step, action.workers, tickets, self.now + valid_s, self.now
+        )
         self._plan()
 
 
--- a/anvilflow/standins/_loads.py
+++ b/anvilflow/standins/_loads.py
@@ -173,7 +173,7 @@
         kinds=make_wide_kinds(1.0),
         workers=make_wide_workers(),
         policy=policy,
-        n_advisers=N_WIDE_ADVISERS,
+        n_advice_callers=N_WIDE_ADVISERS,
         length_s=WIDE_LENGTH_S,
         random_state=seed,
     )
--- a/benchmarks/bench_scheduler.py
+++ b/benchmarks/bench_scheduler.py
@@ -57,7 +57,7 @@
             accelerators=0,
         )
         scheduler.worker_listed(info, 0.0)
-        scheduler.report(info.worker_id, report, asked_at=0.0, now=0.0)
+        scheduler.report(info.worker_id, report, requested_at=0.0, now=0.0)
     n_a_worker = -(-n_tasks // n_workers)
     step = StepSpec(n_tasks=N_TASKS, cpu_milli=16000 // n_a_worker, estimate_s=30.0)
     for number in range(n_tasks // N_TASKS):
@@ -88,7 +88,7 @@
         number=worker.last_ended + 1, task=run.task, run_id=run.run_id, how="stopped", checkpoint=""
     )
     report = WorkerReport(clock_s=1.0, active=(), ended=(end,))
-    scheduler.report(worker.info.worker_id, report, asked_at=0.0, now=1.0)
+    scheduler.report(worker.info.worker_id, report, requested_at=0.0, now=1.0)
     for action in scheduler.plan(1.0, 1.0):
         if isinstance(action, StartRun):
             scheduler.start_answered(action.worker_id, action.task, action.run_id, "started", 1.0)
