--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -8,8 +8,8 @@
 from ._lag import LagMeter
 from ._link_use import LinkUse
 from ._payloads import Payloads
+from ._pending_jobs import PendingJobs
 from ._start_waits import StartWaits
-from ._waiting import WaitingJobs
 
 #: Period in which each instance measures how late it is: that of a home's beats. Unit: seconds.
 LAG_PERIOD_S = 0.2
@@ -119,7 +119,7 @@
             clock=clock, on_answers=lambda away_s: bus.post(StoreAnswers(away_s=away_s))
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
-        self.waiting = WaitingJobs(context=self)
+        self.waiting = PendingJobs(context=self)
         self.start_waits = StartWaits(clock=clock)
         self.payloads = Payloads(context=self)
         self.link_use = LinkUse(settings=lambda: self.settings, count=self._count_bytes)
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -26,10 +26,10 @@
 from ._leader_heartbeat import LeaderHeartbeat
 from ._leader_state import make_scheduler, read_state, readings_at_once
 from ._loading_heartbeat import LoadingHeartbeat
+from ._pending_jobs import PendingCounts
 from ._recorder import Recorder
 from ._relay_dispatcher import RelayDispatcher
 from ._tables import JOBS
-from ._waiting import Waiting
 
 #: Longest time between two plans: what falls due by time alone is seen by then. A plan with nothing
 #: to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
@@ -289,7 +289,7 @@
 
     def waiting(self):
         """Return what waits, for the other instances."""
-        return Waiting(counts=self._scheduler.n_waiting(), version=self._intake.version)
+        return PendingCounts(counts=self._scheduler.n_waiting(), version=self._intake.version)
 
     def start_waits(self):
         """Return how long new jobs wait until their tasks can be sent, by priority."""
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -2,7 +2,7 @@
 
 from ..peers.gen.ttypes import HomeBeat
 from ._leader_eligibility import should_yield
-from ._waiting import PENDING_HEARTBEAT_S
+from ._pending_jobs import PENDING_HEARTBEAT_S
 
 #: Least time for which a home keeps its place before it gives way to a stronger instance: what its
 #: beginning costs is over by then. Unit: seconds.
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -11,8 +11,8 @@
 from ._leader_eligibility import can_lead
 from ._links import DIAL_TIMEOUT_S, LeaderLinkLost
 from ._outcome import Outcome
+from ._pending_jobs import PendingCounts
 from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
-from ._waiting import Waiting
 
 #: Period of looking at the home. Unit: seconds.
 LOOK_S = 0.1
@@ -119,7 +119,7 @@
         self._yielding = heartbeat.yielding
         self.context.uses_relays = bool(heartbeat.carried)
         if heartbeat.waiting is not None:
-            waiting = Waiting(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
+            waiting = PendingCounts(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
             self.context.waiting.told(waiting)
             waits = heartbeat.start_waits or {}
             self.context.start_waits.told({key: ms / 1000 for key, ms in waits.items()})
--- a/anvilflow/cell/_waiting.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -33,7 +33,7 @@
 FIRST_WORD_S = 1.5
 
 
-class Waiting(Struct, kw_only=True):
+class PendingCounts(Struct, kw_only=True):
     """What a home tells: jobs of which nothing has begun, by queue; those of none are left out.
 
     `version` is the newest of the table of jobs that the home knows. An entry tells it of a job in
@@ -44,7 +44,7 @@
     version: int
 
 
-class WaitingJobs:
+class PendingJobs:
     """Counts of jobs of which nothing has begun, by queue.
 
     The configuration alone says whether a queue is served; the home knows how many of its jobs
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _waiting
+from anvilflow.cell import _pending_jobs
 from anvilflow.cell._leadership import LeadershipPart
 from anvilflow.standins import make_platform_config
 
@@ -90,7 +90,7 @@
     cell.advance(1.0)
     _without_successor(monkeypatch, cell)
     if not safeguard:
-        monkeypatch.setattr(_waiting, "MAX_AGE_S", 60.0)
+        monkeypatch.setattr(_pending_jobs, "MAX_AGE_S", 60.0)
     names = list(cell.daemons)
     for number in range(2, 5):
         cell.submit(names[number % len(names)], f"{number:016x}", too_large)
@@ -103,7 +103,7 @@
     """Nobody can say what has begun meanwhile: the caller is told to come again, not a guess."""
     cell = make_cell(n_instances=3)
     _without_successor(monkeypatch, cell)
-    cell.advance(_waiting.MAX_SILENCE_S + 0.1)
+    cell.advance(_pending_jobs.MAX_SILENCE_S + 0.1)
     assert _n_waiting(cell, next(iter(cell.daemons))) == 503
 
 
@@ -153,7 +153,7 @@
     cell.start_instance(name)
     cell.advance(0.02)
     cell.store_faults.status = 503
-    cell.advance(_waiting.STORE_AWAY_S + 1.0)
+    cell.advance(_pending_jobs.STORE_AWAY_S + 1.0)
     answers = cell.call(name, "GET", "/urgent/")
     cell.advance(0.05)
     assert [status for status, *_ in answers] == [503]
