--- a/anvilflow/cell/_job_store.py
+++ b/anvilflow/cell/_job_store.py
@@ -17,7 +17,7 @@
 )
 from ..jobs import EndedJob, JobState
 from ..utils import decode
-from ._outcome import Outcome
+from ._pending_result import PendingResult
 from ._tables import (
     CANCEL_MARK,
     ENDED,
@@ -118,7 +118,7 @@
     SlowWriteError
         AF405, the same, while the store answers: another instance would do no better.
     """
-    writing = Outcome(store_job(store, value, timeout=LONGEST_WRITE_S))
+    writing = PendingResult(store_job(store, value, timeout=LONGEST_WRITE_S))
     until = clock.seconds() + LONGEST_WRITE_S
     pause = doubt_s
     while True:
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -10,8 +10,8 @@
 from ._context import Claimed, Deposed, LeaderChanged
 from ._leader_eligibility import can_lead
 from ._links import DIAL_TIMEOUT_S, LeaderLinkLost
-from ._outcome import Outcome
 from ._pending_jobs import PendingCounts
+from ._pending_result import PendingResult
 from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
 
 #: Period of looking at the home. Unit: seconds.
@@ -170,7 +170,7 @@
             yield self._claim_in_turn("no home" if self.row is None else "home yields")
             return
         # A connection that is open but silent says what a new one would only say after its time.
-        yield self._watch(None if linked and not changed else Outcome(self._dial()))
+        yield self._watch(None if linked and not changed else PendingResult(self._dial()))
 
     @inlineCallbacks
     def _ask_successors(self):
@@ -282,7 +282,7 @@
 
         Parameters
         ----------
-        dialling : Outcome or None
+        dialling : PendingResult or None
             Of the connection that is being made to it; None: it is not reached.
         """
         before = self._newest_version
--- a/anvilflow/cell/_outcome.py
+++ b/anvilflow/cell/_pending_result.py
@@ -4,7 +4,7 @@
 from twisted.python.failure import Failure
 
 
-class Outcome:
+class PendingResult:
     """The result of a call, which can be waited for with a limit and looked at later.
 
     Parameters
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -7,7 +7,7 @@
 from ..jobs import make_handover
 from ..utils import decode, jitter
 from ._context import StoreHealth
-from ._outcome import Outcome
+from ._pending_result import PendingResult
 from ._tables import (
     LEADER_KEY,
     LEADER_TABLE,
@@ -216,7 +216,7 @@
         while not self.stopped:
             began = clock.seconds()
             commit = self.context.store.commit(conditions, writes, timeout=LONGEST_WRITE_S)
-            writing = Outcome(commit)
+            writing = PendingResult(commit)
             row = yield self._watch(writing)
             if row is not None:
                 self._refused(row, snapshot, True)
