--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -6,8 +6,8 @@
 
 from ..metrics import Meters
 from ._lag import LagMeter
-from ._link_use import LinkUse
-from ._payloads import Payloads
+from ._link_utilization import LinkUtilization
+from ._payload_cache import PayloadCache
 from ._pending_jobs import PendingJobs
 from ._start_waits import StartWaits
 
@@ -121,8 +121,10 @@
         self.lag = LagMeter(period=LAG_PERIOD_S)
         self.waiting = PendingJobs(context=self)
         self.start_waits = StartWaits(clock=clock)
-        self.payloads = Payloads(context=self)
-        self.link_use = LinkUse(settings=lambda: self.settings, count=self._count_bytes)
+        self.payloads = PayloadCache(context=self)
+        self.link_utilization = LinkUtilization(
+            settings=lambda: self.settings, count=self._count_bytes
+        )
         self.uses_relays = False
         self.meters = Meters()
         self.dump = dict
--- a/anvilflow/cell/_link_use.py
+++ b/anvilflow/cell/_link_utilization.py
@@ -6,7 +6,7 @@
 _BYTES_PER_MBIT = 125_000
 
 
-class LinkUse:
+class LinkUtilization:
     """Follows the share of the instance's link that is in use, in the busier direction.
 
     Parameters
--- a/anvilflow/cell/_payloads.py
+++ b/anvilflow/cell/_payload_cache.py
@@ -13,7 +13,7 @@
 MAX_KEPT = 2000
 
 
-class Payloads:
+class PayloadCache:
     """Keeps the payloads of jobs that this instance has accepted, and reads those of others.
 
     Parameters
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -74,7 +74,7 @@
     def measure(self):
         """Note whether the link is short now."""
         now = self.context.clock.seconds()
-        use = self.context.link_use
+        use = self.context.link_utilization
         use.measure(now)
         if use.share >= BUSY_SHARE:
             if not self.are_used:
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -3,8 +3,8 @@
 import pytest
 
 from anvilflow.cell._leader_eligibility import MIN_LEADER_LINK_MBPS
-from anvilflow.cell._link_use import LinkUse
-from anvilflow.cell._payloads import Payloads
+from anvilflow.cell._link_utilization import LinkUtilization
+from anvilflow.cell._payload_cache import PayloadCache
 from anvilflow.cell._relay_dispatcher import BUSY_SHARE, RelayDispatcher
 from anvilflow.cell._tables import job_part
 from anvilflow.cell._worker_call_router import WorkerCallRouter
@@ -90,7 +90,7 @@
     cell = make_cell(n_instances=5, n_workers=6)
     context = cell.daemons[cell.leader()].context
     context.settings.link_mbps = MIN_LEADER_LINK_MBPS
-    context.link_use = LinkUse(
+    context.link_utilization = LinkUtilization(
         settings=lambda: context.settings, count=lambda: (0, bytes_per_s * cell.clock.seconds())
     )
     cell.advance(3.0)
@@ -272,7 +272,7 @@
     cell.advance(0.3)
     cell.store.remove("payloads", JOB, part=job_part(JOB))
     for daemon in cell.daemons.values():
-        daemon.context.payloads = Payloads(context=daemon.context)
+        daemon.context.payloads = PayloadCache(context=daemon.context)
     other = f"{7:016x}"
     cell.submit(cell.other(), other, STEP, spec="0.3 done 1000")
     cell.advance(4.0)
