--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -13,11 +13,11 @@
 from ..runtime import Bus, ReactorNetwork, Supervisor, use_steady_clock
 from ._config import ConfigPart
 from ._context import CellContext, Leaving
+from ._diagnostics import DiagnosticsPart
 from ._gateway import GatewayPart
 from ._leader import LeaderPart
 from ._leadership import LeadershipPart
 from ._links import LinksPart
-from ._observer import ObserverPart
 from ._relay import RelayPart
 from ._standby_tables import StandbyTablesPart
 from ._store_watch import StoreWatchPart
@@ -62,7 +62,7 @@
         context.bus.on_failure = self.supervisor.on_failure
         context.dump = self.dump
         for name, kind in (
-            ("observer", ObserverPart),
+            ("observer", DiagnosticsPart),
             ("links", LinksPart),
             ("store", StoreWatchPart),
             ("config", ConfigPart),
--- a/anvilflow/cell/_observer.py
+++ b/anvilflow/cell/_diagnostics.py
@@ -8,7 +8,7 @@
 from ..utils import encode
 
 
-class ObserverPart(Part):
+class DiagnosticsPart(Part):
     """Serves ``/metrics`` and ``/dump`` at an address of its own."""
 
     prefix = "observer"
@@ -22,7 +22,7 @@
         address = self.context.settings.listen.metrics
         if not address:
             return
-        site = Site(_ObserverResource(context=self.context), timeout=60)
+        site = Site(_DiagnosticsResource(context=self.context), timeout=60)
         site.log = lambda request: None
         try:
             port, _ = self.context.network.listen(address, site)
@@ -32,7 +32,7 @@
         self._stack.callback(port.stopListening)
 
 
-class _ObserverResource(Resource):
+class _DiagnosticsResource(Resource):
     isLeaf = True
 
     def __init__(self, *, context):
--- a/anvilflow/cell/tests/test_observer.py
+++ b/anvilflow/cell/tests/test_observer.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from anvilflow.cell import ListenSettings, _observer
+from anvilflow.cell import ListenSettings, _diagnostics
 from anvilflow.exceptions import SettingsError
 from anvilflow.jobs import SchedulingPolicy
 
@@ -26,7 +26,7 @@
 
 def ask(cell, name, path):
     """Return an instance's answer to an operator and its status."""
-    resource = _observer._ObserverResource(context=cell.daemons[name].context)
+    resource = _diagnostics._DiagnosticsResource(context=cell.daemons[name].context)
     request = _Request(path)
     return resource.render_GET(request), request.status
 
