--- a/anvilflow/cell/_config.py
+++ b/anvilflow/cell/_config.py
@@ -7,7 +7,7 @@
 from ..platform import CONFIG_KEY, OPERATOR_TABLE, decode_config
 from ..runtime import Part
 from ..utils import jitter
-from ._context import ConfigChanged, StoreAnswers
+from ._context import ConfigChanged, StoreRecovered
 
 #: Part of the time in which a change must be in force after which a reading of the feed without an
 #: answer is given up: its connection may have gone silent just as the reading began. What is left
@@ -70,7 +70,7 @@
     def start(self):
         """Read the configuration, and follow its changes."""
         self.context.config_part = self
-        self.on(StoreAnswers, self._store_answers)
+        self.on(StoreRecovered, self._store_answers)
         self.every(0.0, self._follow)
 
     def _store_answers(self, _, answers):
--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -50,7 +50,7 @@
     """Another instance has become the home."""
 
 
-class StoreAnswers(Struct, kw_only=True):
+class StoreRecovered(Struct, kw_only=True):
     """The store answers this instance again, after `away_s` in which calls had no answer."""
 
     away_s: float
@@ -116,7 +116,7 @@
         self.config_at = clock.seconds()
         self.leaving = False
         self.store_health = StoreHealth(
-            clock=clock, on_answers=lambda away_s: bus.post(StoreAnswers(away_s=away_s))
+            clock=clock, on_answers=lambda away_s: bus.post(StoreRecovered(away_s=away_s))
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
         self.waiting = PendingJobs(context=self)
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -20,7 +20,7 @@
 from ._links import LinksPart
 from ._relay import RelayPart
 from ._standby_tables import StandbyTablesPart
-from ._store_watch import StoreWatchPart
+from ._store_probe import StoreProbePart
 
 #: Wait for an answer of the store. It answers in 4 ms; slowed sixty times, in 0.25 s.
 #: Unit: seconds.
@@ -64,7 +64,7 @@
         for name, kind in (
             ("observer", DiagnosticsPart),
             ("links", LinksPart),
-            ("store", StoreWatchPart),
+            ("store", StoreProbePart),
             ("config", ConfigPart),
             ("warm", StandbyTablesPart),
             ("home", LeaderPart),
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -305,7 +305,7 @@
         return self._claimed.term if self._claimed else 0
 
     @property
-    def is_store_away(self):
+    def is_store_unavailable(self):
         """Whether the store has not answered the home's own calls for a while."""
         return self._recorder is not None and self._recorder.reach.bad_for_s > STORE_BAD_S
 
@@ -319,7 +319,7 @@
         return self._claimed is not None and not self._loaded
 
     @property
-    def loads_in_vain(self):
+    def has_failed_loading(self):
         """Whether its tables cannot be read, or not in time."""
         return self._n_failed_loads > 0 or (self.is_loading and self._loading_heartbeat.is_late)
 
@@ -391,7 +391,7 @@
         scheduler = self._scheduler
         if scheduler is None or not self._loaded or not self._fleet.may_send_commands():
             return
-        scheduler.is_store_away = self.is_store_away
+        scheduler.is_store_unavailable = self.is_store_unavailable
         scheduler.n_advice_callers = self._advice_dispatcher.n_advice_callers
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_starts():
--- a/anvilflow/cell/_leader_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -19,7 +19,8 @@
     scheduler : Scheduler
     recorder : Recorder
     leader : object
-        Offers ``add_job(value, version)``, ``act(actions)``, ``changed()`` and ``is_store_away``.
+        Offers ``add_job(value, version)``, ``act(actions)``, ``changed()`` and
+        ``is_store_unavailable``.
     """
 
     def __init__(self, *, context, log, scheduler, recorder, leader):
@@ -77,7 +78,7 @@
     @inlineCallbacks
     def _submit(self, call):
         """Store a job for an entry that does not reach the store."""
-        if self.leader.is_store_away:
+        if self.leader.is_store_unavailable:
             return _reply("refused")
         value = decode(call.body, JobRow)
         try:
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -17,8 +17,8 @@
     context : CellContext
     log : Logger
     leader : object
-        Offers ``measure_load()``, ``term``, ``is_loading``, ``loads_in_vain``, ``is_store_away``,
-        ``loaded_at``, ``waiting()`` and ``start_waits()``.
+        Offers ``measure_load()``, ``term``, ``is_loading``, ``has_failed_loading``,
+        ``is_store_unavailable``, ``loaded_at``, ``waiting()`` and ``start_waits()``.
     """
 
     def __init__(self, *, context, log, leader):
@@ -81,7 +81,7 @@
     @property
     def _yields(self):
         """Whether another instance should take over."""
-        is_away = self.leader.is_store_away or self.leader.loads_in_vain
+        is_away = self.leader.is_store_unavailable or self.leader.has_failed_loading
         return self.context.leaving or is_away or self._gives_way
 
     @property
--- a/anvilflow/cell/_store_watch.py
+++ b/anvilflow/cell/_store_probe.py
@@ -14,7 +14,7 @@
 PROBE_TIMEOUT_S = 0.6
 
 
-class StoreWatchPart(Part):
+class StoreProbePart(Part):
     """Reads a row again and again while the last call to the store had no answer.
 
     Clients' calls and feeds find out by themselves that the store is away. That it is back they
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -4,7 +4,7 @@
 from logbook import TestHandler as LogRecorder
 from twisted.internet.defer import inlineCallbacks
 
-from anvilflow.cell import _gateway, _links, _recorder, _store_watch
+from anvilflow.cell import _gateway, _links, _recorder, _store_probe
 from anvilflow.cell._job_store import store_job
 from anvilflow.exceptions import PlatformUnavailableError
 
@@ -53,7 +53,7 @@
     an outage with refusals the home, which tries all the time, takes jobs even without the watch.
     """
     if not safeguard:
-        monkeypatch.setattr(_store_watch, "PROBE_S", 3600.0)
+        monkeypatch.setattr(_store_probe, "PROBE_S", 3600.0)
     cell = make_cell(n_instances=6)
     setattr(cell.store_faults, kind, {"silent": True, "status": 503}[kind])
     for number, name in enumerate(cell.daemons):
--- a/anvilflow/jobs/_trial_book.py
+++ b/anvilflow/jobs/_trial_book.py
@@ -58,15 +58,16 @@
     `suspects` are the tasks that were running on lost workers, by name. `trials` holds the task
     names of the trial runs by worker; no task of another job is started on these workers. Once a
     loss counts against a task, its next start is made durable before it is sent, so that a new
-    home can count a crash that coincides with the failure of the previous one. `is_store_away`
-    says that nothing can be recorded, `wall_offset_s` is the time of day minus the steady time.
+    home can count a crash that coincides with the failure of the previous one.
+    `is_store_unavailable` says that nothing can be recorded, `wall_offset_s` is the time of day
+    minus the steady time.
     """
 
     def __init__(self, **values):
         super().__init__(**values)
         self.suspects = {}
         self.trials = {}
-        self.is_store_away = False
+        self.is_store_unavailable = False
         self.wall_offset_s = 0.0
         self._held_starts = []
         self._has_lost_unheard_worker = False
@@ -109,7 +110,7 @@
         history = task.crash_history
         if history is None:
             return True
-        if not history.may_start(now) or (history.is_suspect and self.is_store_away):
+        if not history.may_start(now) or (history.is_suspect and self.is_store_unavailable):
             return False
         job = self.jobs[task.name.split(".", 1)[0]]
         if history.unrecorded_change > job.recorded_change:
