--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -9,7 +9,7 @@
 from ._link_utilization import LinkUtilization
 from ._payload_cache import PayloadCache
 from ._pending_jobs import PendingJobs
-from ._start_waits import StartWaits
+from ._start_delays import StartDelays
 
 #: Period in which each instance measures how late it is: that of a home's beats. Unit: seconds.
 LAG_PERIOD_S = 0.2
@@ -120,7 +120,7 @@
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
         self.waiting = PendingJobs(context=self)
-        self.start_waits = StartWaits(clock=clock)
+        self.start_waits = StartDelays(clock=clock)
         self.payloads = PayloadCache(context=self)
         self.link_utilization = LinkUtilization(
             settings=lambda: self.settings, count=self._count_bytes
--- a/anvilflow/cell/_start_waits.py
+++ b/anvilflow/cell/_start_delays.py
@@ -4,7 +4,7 @@
 MAX_AGE_S = 1.3
 
 
-class StartWaits:
+class StartDelays:
     """What the home told last; nothing from a home that sends starts as they come.
 
     Parameters
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -4,7 +4,7 @@
 from msgspec import Struct
 
 from anvilflow.cell._leader import DEFERRED_S
-from anvilflow.cell._start_waits import MAX_AGE_S, StartWaits
+from anvilflow.cell._start_delays import MAX_AGE_S, StartDelays
 
 from ._helpers import JOB, make_cell
 
@@ -99,7 +99,7 @@
 def test_jobs_that_would_begin_too_late_are_refused_at_once(monkeypatch, safeguard):
     """Accepted, they are done too late themselves and make all that come after them late."""
     if not safeguard:
-        monkeypatch.setattr(StartWaits, "wait_s", lambda self, priority: 0.0)
+        monkeypatch.setattr(StartDelays, "wait_s", lambda self, priority: 0.0)
     cell, submitted, _ = _play_burst(1, burst_s=2 * BURST_S)
     refused = [each.answers[0] for each in submitted.values() if not each.is_accepted]
     assert bool(refused) is safeguard
