--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -36,7 +36,7 @@
 _stop = Scheduler._stop
 
 
-def _without_strays(self, worker, item, known, now):
+def _without_orphan_runs(self, worker, item, known, now):
     return []
 
 
@@ -174,7 +174,7 @@
     run on under the leases of the next home.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     _late_starts(cell, 1.5)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
@@ -272,7 +272,7 @@
     worker it is stopped. Left alone it would run on under the next home's leases.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
     cell.advance(1.0)
@@ -297,7 +297,7 @@
     carries the start out; the new session hears of it as of a run that has no place, and stops it.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=1)
     worker = cell.workers["i-0"]
     worker.trusts_lease = True
@@ -376,7 +376,7 @@
     which it finds listed.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -335,7 +335,7 @@
     the runs on it starts the same tasks again.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt_strays", lambda self, job, now: None)
+        monkeypatch.setattr(Scheduler, "_adopt_orphan_runs", lambda self, job, now: None)
         monkeypatch.setattr(Scheduler, "may_start", lambda self, job, now: True)
     cell = make_cell(n_instances=3, n_workers=3)
     scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
@@ -351,7 +351,7 @@
     )
     calls.start(start, until_s=worker.clock_s() + 3.0)
     cell.advance(0.3)
-    assert scheduler.workers["i-0"].strays
+    assert scheduler.workers["i-0"].orphan_runs
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="3.0 done 1000")
     cell.advance(6.0)
     assert (cell.check() == []) is safeguard
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -221,7 +221,7 @@
         worker = scheduler.workers[info.worker_id]
         worker.confirmed = worker.silent = True
         worker.silent_at = 0.0
-        worker.strays = {(f"{number:016x}.1000.10.{each}", 1001): None for each in range(30)}
+        worker.orphan_runs = {(f"{number:016x}.1000.10.{each}", 1001): None for each in range(30)}
     handover = _recorder.make_handover(scheduler, 10.0)
     assert len(handover) == 20
     assert len(encode(handover)) < 60_000
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -45,7 +45,7 @@
             runs = [(run.task, run.run_id) for run in worker.runs.values()]
             fresh = [index for index, run in enumerate(worker.runs.values()) if run.is_fresh]
             handover.append(
-                HandoverWorker(info=worker.info, runs=runs + list(worker.strays), fresh=fresh)
+                HandoverWorker(info=worker.info, runs=runs + list(worker.orphan_runs), fresh=fresh)
             )
         elif _is_hidden(worker):
             handover.append(HandoverWorker(info=worker.info))
--- a/anvilflow/jobs/_run_book.py
+++ b/anvilflow/jobs/_run_book.py
@@ -6,7 +6,7 @@
 from ._job import JobState, TaskState
 from ._pacing import pace_fillers
 from ._sickness import note_duration
-from ._worker import PendingEnd, Stray
+from ._worker import OrphanRun, PendingEnd
 
 #: Runs that one home may start of a task before another home's numbers begin. A new home does not
 #: know how many its predecessor started, and a worker refuses a number that is not higher.
@@ -66,8 +66,8 @@
         for item in report.active:
             listed.add((item.task, item.run_id))
             actions += self._active(worker, item, report.clock_s, now)
-        for key in set(worker.strays) - listed:
-            del worker.strays[key]
+        for key in set(worker.orphan_runs) - listed:
+            del worker.orphan_runs[key]
             self.freed.add(worker_id)
         # A worker tells of a limited number of ends at once. Where more wait, as after a long
         # outage of the store, a run that is not listed may have ended among the rest.
@@ -113,11 +113,13 @@
             run.checkpoint = item.checkpoint
             self._began(run, now)
             return []
-        stray = worker.strays.setdefault((item.task, item.run_id), Stray(item=item, now=now))
-        waits = self._may_become_known(item.task) and now - stray.seen_at < UNKNOWN_JOB_S
-        if stray.stopped or waits:
+        orphan = worker.orphan_runs.setdefault(
+            (item.task, item.run_id), OrphanRun(item=item, now=now)
+        )
+        waits = self._may_become_known(item.task) and now - orphan.seen_at < UNKNOWN_JOB_S
+        if orphan.stopped or waits:
             return []
-        stray.stopped = True
+        orphan.stopped = True
         return [
             StopRun(
                 worker_id=worker.info.worker_id, task=item.task, run_id=item.run_id, why="stray"
@@ -153,26 +155,26 @@
                 if pending.change is None and task is not None and step.job is job:
                     actions += self._settle_end(worker, step, task, pending.end, None, now)
                     pending.change = job.change
-        self._adopt_strays(job, now)
+        self._adopt_orphan_runs(job, now)
         return actions
 
-    def _adopt_strays(self, job, now):
+    def _adopt_orphan_runs(self, job, now):
         """Take on what a former home started of a job that is only heard of now.
 
         Without it the job's tasks would be started a second time while the first runs go on.
         """
         for worker in self.workers.values():
-            for key, stray in list(worker.strays.items()):
-                step, task = job.task_named(stray.item.task)
-                if not stray.item.task.startswith(f"{job.job_id}.") or task is None:
+            for key, orphan in list(worker.orphan_runs.items()):
+                step, task = job.task_named(orphan.item.task)
+                if not orphan.item.task.startswith(f"{job.job_id}.") or task is None:
                     continue
                 if task.state is not TaskState.WAITING:
                     continue
-                del worker.strays[key]
-                run = self._make_run(worker, step, task, stray.item.run_id, now)
+                del worker.orphan_runs[key]
+                run = self._make_run(worker, step, task, orphan.item.run_id, now)
                 run.is_adopted = True
                 self._began(run, now)
-                if stray.stopped:
+                if orphan.stopped:
                     run.state = "barred"
 
     def new_run(self, worker, step, task, now):
@@ -206,7 +208,7 @@
     # Ends
 
     def _ended(self, worker, end, now):
-        if worker.strays.pop((end.task, end.run_id), None) is not None:
+        if worker.orphan_runs.pop((end.task, end.run_id), None) is not None:
             self.freed.add(worker.info.worker_id)
         run = worker.runs.get(end.task)
         if run is not None and run.run_id == end.run_id:
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -62,7 +62,7 @@
     return sent_at + lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
 
 
-class Stray:
+class OrphanRun:
     """A run that a worker lists and that has no place here: of a job not known, or out of date.
 
     Parameters
@@ -213,19 +213,19 @@
         "memory_free",
         "n_bad",
         "nobody_listens",
+        "orphan_runs",
         "retry_at",
         "runs",
         "runs_known",
         "silent",
         "silent_at",
         "slowness",
-        "strays",
     )
 
     def __init__(self, *, info, lease_over_at):
         self.info = info
         self.runs = {}
-        self.strays = {}
+        self.orphan_runs = {}
         self.confirmed = False
         self.silent = False
         self.silent_at = None
@@ -326,7 +326,7 @@
             and not self.in_handover
             and self.listed
             and not self.silent
-            and not self.strays
+            and not self.orphan_runs
             and not self.info.draining
             and now >= self.retry_at
         )
--- a/anvilflow/jobs/_worker_book.py
+++ b/anvilflow/jobs/_worker_book.py
@@ -151,20 +151,20 @@
         run.worker.remove_run(run)
         self.freed.add(run.worker.info.worker_id)
 
-    def _take_stray(self, step, task, now):
+    def _take_orphan_run(self, step, task, now):
         """Count a run that had no place here as the task's own, now that no other is left.
 
         It works, or is being stopped: a second one must not begin before it is over. Returns
         whether there is such a run.
         """
         for worker in self.workers.values():
-            for name, run_id in list(worker.strays):
+            for name, run_id in list(worker.orphan_runs):
                 if name != task.name:
                     continue
-                stray = worker.strays.pop((name, run_id))
+                orphan = worker.orphan_runs.pop((name, run_id))
                 run = self._make_run(worker, step, task, run_id, now)
                 run.is_adopted = True
-                run.state = "barred" if stray.stopped else "running"
+                run.state = "barred" if orphan.stopped else "running"
                 return True
         return False
 
@@ -180,7 +180,7 @@
 
     def _wait_again(self, step, task, now):
         if task.state is not TaskState.DONE and not task.runs:
-            if self._take_stray(step, task, now):
+            if self._take_orphan_run(step, task, now):
                 return
             if task.state is TaskState.RUNNING:
                 task.waiting_since = now
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -43,7 +43,7 @@
     second one stopped, hears that the first one is over, and started a third beside the second.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_take_stray", lambda self, step, task, now: False)
+        monkeypatch.setattr(Scheduler, "_take_orphan_run", lambda self, step, task, now: False)
     scheduler = _scheduler_with_a_stale_run()
     [stop] = _hear(scheduler, "w1", 0.5, active=[_active(2)])
     assert isinstance(stop, StopRun) and stop.worker_id == "w1"
