--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -7,7 +7,7 @@
 from anvilflow.cell._context import Claimed
 from anvilflow.cell._session import START_TIMEOUTS_S, WorkerSession
 from anvilflow.exceptions import WorkerRefusedError, WorkerUnreachableError
-from anvilflow.jobs import Scheduler, StartRun, _run_book
+from anvilflow.jobs import Scheduler, StartRun, _run_tracker
 
 from ._helpers import CANCEL_S, JOB, STEP, cancel, find_runs_after_cancelling, make_cell
 
@@ -348,7 +348,7 @@
     its lease with all others on the worker.
     """
     if not safeguard:
-        monkeypatch.setattr(_run_book, "UNKNOWN_JOB_S", float("inf"))
+        monkeypatch.setattr(_run_tracker, "UNKNOWN_JOB_S", float("inf"))
     cell = make_cell(n_instances=3, n_workers=2)
     fleet = cell.daemons[cell.leader()].supervisor.part("home")._fleet
     start = StartRun(
--- a/anvilflow/jobs/_crash_book.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -5,7 +5,7 @@
 from ._actions import NoteCrashingTask, NoteLostWorker
 from ._crash_history import Fate
 from ._job import JobState, TaskState
-from ._trial_book import TrialBook
+from ._trial_tracker import TrialTracker
 
 #: Workers that are lost within this time of each other have a common cause. Unit: seconds.
 COMMON_CAUSE_S = 1.0
@@ -14,10 +14,10 @@
 REMEMBER_LOSS_S = 60.0
 
 
-class CrashBook(TrialBook):
+class CrashTracker(TrialTracker):
     """Counts the workers lost while running each task, and fails jobs whose tasks crash workers.
 
-    Base of :class:`RunBook`. A crash is confirmed only when another incarnation answers at the
+    Base of :class:`RunTracker`. A crash is confirmed only when another incarnation answers at the
     worker's address: until then a crashed worker cannot be told from one that is partitioned and
     still running.
     """
--- a/anvilflow/jobs/_run_book.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -2,7 +2,7 @@
 
 from ._actions import StopRun
 from ._advice import has_ticket
-from ._crash_book import CrashBook
+from ._crash_tracker import CrashTracker
 from ._job import JobState, TaskState
 from ._pacing import pace_fillers
 from ._sickness import note_duration
@@ -35,7 +35,7 @@
 UNKNOWN_JOB_S = 1.5
 
 
-class RunBook(CrashBook):
+class RunTracker(CrashTracker):
     """What runs where: reports, ends, and answers to orders.
 
     Base of :class:`Scheduler`, which adds the jobs: a run is started for a job's task, and its end
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -7,7 +7,7 @@
 from ._placement import plan_starts
 from ._policy import SchedulingPolicy
 from ._reservations import Reservations
-from ._run_book import RunBook
+from ._run_tracker import RunTracker
 from ._sickness import GIVEN_UP_SLOWNESS, find_sick_runs, has_copy
 
 #: Least time between two looks at all jobs and runs for what falls due by time alone: occurrences,
@@ -16,7 +16,7 @@
 LOOK_S = 0.1
 
 
-class Scheduler(RunBook):
+class Scheduler(RunTracker):
     """The jobs and workers of a cell, as the home sees them.
 
     Inputs are methods that take what happened and the time; outputs are lists of actions. Nothing
--- a/anvilflow/jobs/_trial_book.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -5,7 +5,7 @@
 from ._actions import StartRun
 from ._crash_history import EARLY_CRASH_S, CrashHistory
 from ._job import TaskState
-from ._worker_book import WorkerBook
+from ._worker_tracker import WorkerTracker
 
 #: Time after which a start that is still not durable is cancelled. Unit: seconds.
 MAX_RECORD_WAIT_S = 1.0
@@ -48,10 +48,10 @@
     since: float
 
 
-class TrialBook(WorkerBook):
+class TrialTracker(WorkerTracker):
     """Runs suspect tasks in isolation, so that the next loss can be attributed to one task.
 
-    Base of :class:`CrashBook`, which decides which tasks are failed.
+    Base of :class:`CrashTracker`, which decides which tasks are failed.
 
     Notes
     -----
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -113,7 +113,7 @@
     `first_percent` the progress that the run began with. `is_whole` says that this home
     started it, from nothing: only then its length is that of the task. `is_sent` says that the
     start was sent, `has_begun` that the worker has confirmed the run, `is_adopted` that another
-    home started it, `is_trial` that it is a trial run, see :class:`TrialBook`.
+    home started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
     """
 
     __slots__ = (
--- a/anvilflow/jobs/_worker_book.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -9,10 +9,10 @@
 _NEVER = float("inf")
 
 
-class WorkerBook:
+class WorkerTracker:
     """The workers and the runs that take their room.
 
-    Base of :class:`TrialBook`, which isolates tasks that may crash workers.
+    Base of :class:`TrialTracker`, which isolates tasks that may crash workers.
 
     Parameters
     ----------
