--- a/anvilflow/jobs/__init__.py
+++ b/anvilflow/jobs/__init__.py
@@ -9,7 +9,7 @@
     StartRun,
     StopRun,
 )
-from ._crash_history import CrashHistory, Fate, LostRun
+from ._crash_history import CrashHistory, LossOutcome, LostRun
 from ._grace_period import COMMAND_S, GracePeriod
 from ._handover import HandoverWorker, make_handover
 from ._job import ENDED_STATES, JobRun, JobState, TaskState, longest_chain_s
@@ -26,7 +26,6 @@
     "CellConfig",
     "CrashHistory",
     "EndedJob",
-    "Fate",
     "GracePeriod",
     "HandoverWorker",
     "JobRecord",
@@ -34,6 +33,7 @@
     "JobSpec",
     "JobState",
     "Limits",
+    "LossOutcome",
     "LostRun",
     "NoteCrashingTask",
     "NoteLostWorker",
--- a/anvilflow/jobs/_crash_history.py
+++ b/anvilflow/jobs/_crash_history.py
@@ -37,7 +37,7 @@
 MAX_RECORDED_START_AGE_S = EARLY_CRASH_S + 1.0
 
 
-class Fate(StrEnum):
+class LossOutcome(StrEnum):
     """State of a worker on which a task was started.
 
     `PLACED`: not known to be lost, the run may be active. `UNKNOWN`: the worker is unreachable and
@@ -58,7 +58,7 @@
     ----------
     worker_id, address : str
     run_id : int
-    fate : Fate
+    fate : LossOutcome
     max_age_s : float
         Upper bound of the run's age when its worker was lost. Unit: seconds.
     is_soon : bool
@@ -72,7 +72,7 @@
     worker_id: str
     address: str
     run_id: int
-    fate: Fate = Fate.PLACED
+    fate: LossOutcome = LossOutcome.PLACED
     max_age_s: float = EARLY_CRASH_S
     is_soon: bool = True
     has_begun: bool = True
@@ -85,7 +85,7 @@
     Attributes
     ----------
     lost_runs : dict of str to LostRun
-        By worker. Includes a recorded start (`Fate.PLACED`) whose worker may still be lost.
+        By worker. Includes a recorded start (`LossOutcome.PLACED`) whose worker may still be lost.
     last_lost_at : float
         Time of the latest loss. Unit: seconds.
     is_trial_exempt : bool
@@ -105,7 +105,7 @@
     @property
     def losses(self):
         """Entries whose workers were lost, without recorded starts."""
-        return [each for each in self.lost_runs.values() if each.fate is not Fate.PLACED]
+        return [each for each in self.lost_runs.values() if each.fate is not LossOutcome.PLACED]
 
     @property
     def lost_addresses(self):
@@ -126,7 +126,7 @@
         """Whether the next start must be durable before it is sent."""
         losses = self.losses
         return len(losses) > 1 or any(
-            each.is_soon and each.fate is not Fate.UNKNOWN for each in losses
+            each.is_soon and each.fate is not LossOutcome.UNKNOWN for each in losses
         )
 
     @property
@@ -135,11 +135,11 @@
         early_crash_addresses = {
             each.address
             for each in self.lost_runs.values()
-            if each.fate is Fate.CRASHED and each.has_begun and each.is_soon
+            if each.fate is LossOutcome.CRASHED and each.has_begun and each.is_soon
         }
         if len(early_crash_addresses) >= MAX_EARLY_CRASHES:
             return True
-        n_crashed = sum(each.fate is Fate.CRASHED for each in self.losses)
+        n_crashed = sum(each.fate is LossOutcome.CRASHED for each in self.losses)
         return len(self.losses) >= MAX_LOST_WORKERS and n_crashed >= MAX_EARLY_CRASHES
 
     @property
@@ -164,7 +164,7 @@
         waited_s = now - self.last_lost_at
         if waited_s < FIRST_BACKOFF_S * 2 ** (len(losses) - 2):
             return False
-        is_unknown = self.is_suspect and any(each.fate is Fate.UNKNOWN for each in losses)
+        is_unknown = self.is_suspect and any(each.fate is LossOutcome.UNKNOWN for each in losses)
         return not is_unknown or waited_s >= MAX_UNKNOWN_WAIT_S
 
     def add_start(self, *, worker_id, address, run_id, started_at):
@@ -180,7 +180,7 @@
     def confirm_start(self, worker_id):
         """Note that a recorded start has begun; return whether there is such a start."""
         lost = self.lost_runs.get(worker_id)
-        if lost is None or lost.fate is not Fate.PLACED or lost.has_begun:
+        if lost is None or lost.fate is not LossOutcome.PLACED or lost.has_begun:
             return False
         self.lost_runs[worker_id] = structs.replace(lost, has_begun=True)
         return True
@@ -192,7 +192,7 @@
         """
         for worker_id, lost in self.lost_runs.items():
             is_recent = 0.0 <= wall_now - lost.started_at <= MAX_RECORDED_START_AGE_S
-            if lost.fate is Fate.PLACED and not is_recent:
+            if lost.fate is LossOutcome.PLACED and not is_recent:
                 self.lost_runs[worker_id] = structs.replace(lost, is_soon=False)
 
     def add_loss(self, run, fate, now):
@@ -220,7 +220,7 @@
 
     def _is_placed(self, worker_id):
         lost = self.lost_runs.get(worker_id)
-        return lost is not None and lost.fate is Fate.PLACED
+        return lost is not None and lost.fate is LossOutcome.PLACED
 
     def forget(self, worker_id):
         """Remove the entry of a worker that is alive or whose run ended normally."""
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -3,7 +3,7 @@
 from msgspec import structs
 
 from ._actions import NoteCrashingTask, NoteLostWorker
-from ._crash_history import Fate
+from ._crash_history import LossOutcome
 from ._job import JobState, TaskState
 from ._trial_tracker import TrialTracker
 
@@ -50,7 +50,7 @@
             return []
         self.needs_whole_plan = True
         self._has_lost_unheard_worker = self._has_lost_unheard_worker or not worker.confirmed
-        fate = Fate.CRASHED if is_replaced else Fate.GONE
+        fate = LossOutcome.CRASHED if is_replaced else LossOutcome.GONE
         tasks = sorted(worker.runs)
         for run in list(worker.runs.values()):
             if worker.is_leaving:
@@ -61,7 +61,7 @@
             self._forget_worker(worker_id)
             return []
         self._note_lost_worker(worker, False, now)
-        return self._set_fate(worker_id, fate, worker.info.address, tasks, now)
+        return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
 
     def take_on_unheard(self, worker_id, runs, now):
         """Take on what an earlier home named as running on a worker that it could not reach.
@@ -105,7 +105,7 @@
                 if has_left or worker.is_leaving:
                     self._drop_run(run, now)
                 else:
-                    self._lose_run(run, Fate.UNKNOWN, now)
+                    self._lose_run(run, LossOutcome.UNKNOWN, now)
 
     def _lose_run(self, run, fate, now):
         """Remove a run whose worker was lost, and add the loss to its task's history."""
@@ -147,7 +147,7 @@
             if other not in history.lost_runs
         )
 
-    def _set_fate(self, worker_id, fate, address, tasks, now):
+    def _set_loss_outcome(self, worker_id, fate, address, tasks, now):
         """Set the fate of a worker in the histories of all tasks that were running there."""
         runs_and_losses = {}
         for suspect in self.suspects.values():
@@ -165,7 +165,7 @@
         note = NoteLostWorker(
             worker_id=worker_id,
             address=address,
-            known_by="replaced" if fate is Fate.CRASHED else "unlisted",
+            known_by="replaced" if fate is LossOutcome.CRASHED else "unlisted",
             tasks=tasks or sorted(runs_and_losses),
             runs_and_losses=runs_and_losses,
         )
@@ -182,7 +182,7 @@
             job = suspect.step.job
             if job.is_ended or not suspect.history.crashes_workers:
                 continue
-            crashed = [each for each in suspect.history.losses if each.fate is Fate.CRASHED]
+            crashed = [each for each in suspect.history.losses if each.fate is LossOutcome.CRASHED]
             actions.append(
                 NoteCrashingTask(
                     job=job.job_id,
@@ -212,24 +212,26 @@
     def _review_loss(self, suspect, lost, by_address, now):
         worker = self.workers.get(lost.worker_id)
         if worker is None:
-            if lost.fate is not Fate.CRASHED and lost.address in by_address:
-                return self._set_fate(lost.worker_id, Fate.CRASHED, lost.address, [], now)
-            if lost.fate is Fate.PLACED:
+            if lost.fate is not LossOutcome.CRASHED and lost.address in by_address:
+                return self._set_loss_outcome(
+                    lost.worker_id, LossOutcome.CRASHED, lost.address, [], now
+                )
+            if lost.fate is LossOutcome.PLACED:
                 self._mark_unknown(suspect, lost, now)
             return []
-        if suspect.task.name in worker.runs or lost.fate is Fate.CRASHED:
+        if suspect.task.name in worker.runs or lost.fate is LossOutcome.CRASHED:
             return []
         if worker.confirmed and not worker.silent:
             suspect.history.forget(lost.worker_id)
             suspect.step.job.touch(now)
             suspect.step.job.wake()
-        elif lost.fate is Fate.PLACED and worker.is_lapsed(now):
+        elif lost.fate is LossOutcome.PLACED and worker.is_lapsed(now):
             self._mark_unknown(suspect, lost, now)
         return []
 
     def _mark_unknown(self, suspect, lost, now):
         """Count a recorded start as lost: its worker is missing or its lease has expired."""
-        suspect.history.lost_runs[lost.worker_id] = structs.replace(lost, fate=Fate.UNKNOWN)
+        suspect.history.lost_runs[lost.worker_id] = structs.replace(lost, fate=LossOutcome.UNKNOWN)
         suspect.history.last_lost_at = now
         suspect.step.job.touch(now)
         suspect.step.job.wake()
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -6,8 +6,8 @@
 
 from anvilflow.jobs import (
     CrashHistory,
-    Fate,
     JobState,
+    LossOutcome,
     LostRun,
     NoteCrashingTask,
     NoteLostWorker,
@@ -268,7 +268,7 @@
     assert scheduler.plan(0.5, 0.5) == []
     job = scheduler.jobs[JOB]
     [lost, placed] = job.to_record().lost_runs["0.0.0"]
-    assert (lost.fate, placed.fate) == (Fate.CRASHED, Fate.PLACED)
+    assert (lost.fate, placed.fate) == (LossOutcome.CRASHED, LossOutcome.PLACED)
     scheduler.recorded(JOB, job.change, 0.6)
     [start] = scheduler.plan(0.6, 0.6)
     assert start.worker_id == placed.worker_id
@@ -288,7 +288,7 @@
     assert len(_plan(scheduler, 3.2)) == 1
 
 
-def _lost(number, fate=Fate.CRASHED, **values):
+def _lost(number, fate=LossOutcome.CRASHED, **values):
     return LostRun(
         worker_id=f"w{number}", address=f"w{number}:1", run_id=number, fate=fate, **values
     )
@@ -351,10 +351,12 @@
 
 def test_unconfirmed_losses_limit_the_starts():
     """Guards against endless restarts when no crash is ever confirmed."""
-    history = CrashHistory(lost_runs=[_lost(number, Fate.GONE) for number in range(4)])
+    history = CrashHistory(lost_runs=[_lost(number, LossOutcome.GONE) for number in range(4)])
     assert not history.crashes_workers
     assert not history.may_start(1e6)
-    assert CrashHistory(lost_runs=[_lost(number, Fate.GONE) for number in range(3)]).may_start(1e6)
+    assert CrashHistory(
+        lost_runs=[_lost(number, LossOutcome.GONE) for number in range(3)]
+    ).may_start(1e6)
 
 
 def test_task_is_the_cause_after_four_late_crashes():
@@ -372,6 +374,6 @@
 
 def test_next_start_waits_for_the_fate_of_the_last_worker():
     """Guards against a third start before the second crash is confirmed."""
-    history = CrashHistory(lost_runs=[_lost(0), _lost(1, Fate.UNKNOWN)], now=10.0)
+    history = CrashHistory(lost_runs=[_lost(0), _lost(1, LossOutcome.UNKNOWN)], now=10.0)
     assert not history.may_start(15.0)
     assert history.may_start(18.0)
