--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -37,7 +37,7 @@
 
 #: Silence after which a worker gets no new work, also while answers of all workers are late. Unit:
 #: seconds.
-LATE_SILENT_S = 2.0
+LATE_UNRESPONSIVE_S = 2.0
 
 #: Starts that may be sent again: a share of those that workers answer, and some at once.
 RETRY_RATIO = 0.5
@@ -229,7 +229,7 @@
         """
         if self.limit_s() < LATE_S and self._unanswered_share < LATE_SHARE:
             return False
-        return self._now() - self._heard_at.get(worker_id, float("-inf")) < LATE_SILENT_S
+        return self._now() - self._heard_at.get(worker_id, float("-inf")) < LATE_UNRESPONSIVE_S
 
     # Workers
 
@@ -315,10 +315,10 @@
         worker = self.scheduler.workers.get(worker_id)
         return worker is not None and self.seen(worker_id) < worker.last_ended
 
-    def is_silent(self, worker_id):
+    def is_unreachable(self, worker_id):
         """Whether the last call to a worker had no answer."""
         worker = self.scheduler.workers.get(worker_id)
-        return worker is not None and worker.silent
+        return worker is not None and worker.unreachable
 
     def is_wanted(self, action):
         """Whether a run that is being started still has its place, and is not being stopped."""
@@ -336,7 +336,7 @@
         if worker is None:
             return
         self._heard_at[worker_id] = requested_at
-        if worker.silent or not worker.confirmed:
+        if worker.unreachable or not worker.confirmed:
             self.log.info("worker answers", worker=worker_id, active=len(report.active))
         for end in report.ended:
             if end.number > worker.last_ended:
@@ -349,7 +349,7 @@
                     how=end.how,
                     number=end.number,
                 )
-        is_news = bool(report.ended) or worker.silent or not worker.confirmed
+        is_news = bool(report.ended) or worker.unreachable or not worker.confirmed
         n_runs = len(worker.runs)
         self.events.act(
             self.scheduler.report(worker_id, report, requested_at=requested_at, now=self._now())
@@ -363,13 +363,15 @@
     def worker_failed(self, worker_id, exc):
         """A call to a worker had no answer."""
         worker = self.scheduler.workers.get(worker_id)
-        nobody_listens = (exc.details or {}).get("nobody_listens", False)
-        if not nobody_listens and self._is_only_late(worker_id):
+        connection_refused = (exc.details or {}).get("nobody_listens", False)
+        if not connection_refused and self._is_only_late(worker_id):
             self.context.meters.count("late_workers")
             return
-        if worker is not None and not worker.silent:
+        if worker is not None and not worker.unreachable:
             self.log.info("worker silent", worker=worker_id, error=str(exc))
-        self.scheduler.worker_silent(worker_id, self._now(), nobody_listens=nobody_listens)
+        self.scheduler.worker_unreachable(
+            worker_id, self._now(), connection_refused=connection_refused
+        )
         unlisted_at = self._unlisted.get(worker_id)
         over = worker is None or self._now() >= worker.lease_over_at
         if unlisted_at is not None and self._now() - unlisted_at > UNLISTED_S and over:
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -19,7 +19,7 @@
 
 #: Silence of the home after which it is suspected: two of its beats and their way. Shorter silences
 #: come from a busy processor: the tenth of a second that a quota can take away. Unit: seconds.
-SILENT_S = 0.5
+UNRESPONSIVE_S = 0.5
 
 #: Times the lag of which a home tells that it is waited for beyond what any other one is. One with
 #: an eighth of a core fell behind in a burst and was taken for dead, and so was each after it.
@@ -141,7 +141,7 @@
             return
         linked = self.context.links is not None and self.context.links.leader_link is not None
         silent = self.now - self._heard_at
-        if linked and silent < SILENT_S + self._patience_s and not self._yielding:
+        if linked and silent < UNRESPONSIVE_S + self._patience_s and not self._yielding:
             return
         self._busy = True
         done = self._check(linked)
--- a/anvilflow/cell/_pending_jobs.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -19,7 +19,7 @@
 
 #: Time without a word of a home after which the counts are given up. One that is out of reach from
 #: here may live and begin jobs, which go on being counted as if they waited. Unit: seconds.
-MAX_SILENCE_S = 10.0
+MAX_UNRESPONSIVE_S = 10.0
 
 #: Time without an answer of the store after which it is not asked: longer than the time limit of
 #: one call, since one answer that was lost says nothing about the store. Unit: seconds.
@@ -126,7 +126,7 @@
         if self.is_fresh:
             return
         requested_at, version = self.context.clock.seconds(), self._version
-        if requested_at - self._told_at > MAX_SILENCE_S:
+        if requested_at - self._told_at > MAX_UNRESPONSIVE_S:
             raise _not_known("no home has told for too long")
         self._check_store()
         try:
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -41,7 +41,7 @@
         is sent, ``lease_sent``; of each answer's time, ``call_answered``, and of calls without one,
         ``call_unanswered``; and, by ``start_over``, of starts that are answered or late.
         ``seen(worker_id)`` gives the number of the last durable end,
-        ``has_unseen(worker_id)`` tells whether there are later ones, ``is_silent(worker_id)``
+        ``has_unseen(worker_id)`` tells whether there are later ones, ``is_unreachable(worker_id)``
         whether the last call to the worker had no answer, ``is_wanted(action)`` whether a run that
         is being started still has its place, ``may_send_commands()`` whether starts and leases may
         be sent, ``may_retry()`` whether a start may be sent again, ``renewal_wait()`` how long a
@@ -116,7 +116,7 @@
         # worker that does not answer is asked without one, so that the wait for its tasks has an
         # end: renewed with each try, they waited until it came back.
         asks_only = (
-            first or self.fleet.is_silent(self.worker_id) or not self.fleet.may_send_commands()
+            first or self.fleet.is_unreachable(self.worker_id) or not self.fleet.may_send_commands()
         )
         until = None if asks_only else self._until(sent)
         wait_s = 0.0 if asks_only else self.fleet.renewal_wait()
@@ -214,7 +214,7 @@
             outcome = yield self._start_once(action, self._limit_s(least_s))
             if number > 0:
                 outcome = outcome_after_silence(outcome)
-            if outcome != "unknown" or self.stopped or self.fleet.is_silent(self.worker_id):
+            if outcome != "unknown" or self.stopped or self.fleet.is_unreachable(self.worker_id):
                 break
             # One that is late tells nothing of the link any more, and must not keep others waiting.
             self.fleet.start_over(action)
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -103,7 +103,7 @@
     """Nobody can say what has begun meanwhile: the caller is told to come again, not a guess."""
     cell = make_cell(n_instances=3)
     _without_successor(monkeypatch, cell)
-    cell.advance(_pending_jobs.MAX_SILENCE_S + 0.1)
+    cell.advance(_pending_jobs.MAX_UNRESPONSIVE_S + 0.1)
     assert _n_waiting(cell, next(iter(cell.daemons))) == 503
 
 
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -310,7 +310,7 @@
         faults.only = {cell.other()}
     cell.advance(9.0)
     leader = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
-    is_well = not any(worker.silent for worker in leader.workers.values())
+    is_well = not any(worker.unreachable for worker in leader.workers.values())
     is_well = is_well and not [span for span in cell.spans if span.how in ("lapsed", "stopped")]
     assert is_well is safeguard
 
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -111,7 +111,7 @@
 
 
 def _accepts_without_word(self, now):
-    return self.confirmed and self.listed and not self.silent and not self.info.draining
+    return self.confirmed and self.listed and not self.unreachable and not self.info.draining
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -219,8 +219,8 @@
         )
         scheduler.worker_listed(info, 0.0)
         worker = scheduler.workers[info.worker_id]
-        worker.confirmed = worker.silent = True
-        worker.silent_at = 0.0
+        worker.confirmed = worker.unreachable = True
+        worker.unreachable_since = 0.0
         worker.orphan_runs = {(f"{number:016x}.1000.10.{each}", 1001): None for each in range(30)}
     handover = _recorder.make_handover(scheduler, 10.0)
     assert len(handover) == 20
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -27,14 +27,14 @@
 
 def _silent_workers(cell):
     scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
-    return [name for name, worker in scheduler.workers.items() if worker.silent]
+    return [name for name, worker in scheduler.workers.items() if worker.unreachable]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_workers_that_are_all_late_are_not_silent(monkeypatch, safeguard):
     """Answers of all workers begin to come late: taken for silent, none of them got any work."""
     if not safeguard:
-        monkeypatch.setattr(_fleet, "LATE_SILENT_S", 0.0)
+        monkeypatch.setattr(_fleet, "LATE_UNRESPONSIVE_S", 0.0)
     cell = make_cell(n_workers=12)
     _run_jobs(cell, 20, 1.0)
     for faults in cell.worker_faults.values():
@@ -61,7 +61,7 @@
     _run_jobs(cell, 10, 1.0)
     for faults in cell.worker_faults.values():
         faults.silent = True
-    cell.advance(_fleet.LATE_SILENT_S + 2.5)
+    cell.advance(_fleet.LATE_UNRESPONSIVE_S + 2.5)
     assert len(_silent_workers(cell)) == 6
 
 
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -72,7 +72,7 @@
     """Its other members would wait at work for one that does not come."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=3, gang=True)
-    leader.scheduler.worker_silent(starts[1].worker_id, 0.0)
+    leader.scheduler.worker_unreachable(starts[1].worker_id, 0.0)
     leader.queue.send_due()
     assert leader.sent == []
     assert leader.dropped == starts
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -109,7 +109,7 @@
     tasks would have waited for ever.
     """
     if not safeguard:
-        monkeypatch.setattr(_fleet.Fleet, "is_silent", lambda self, worker_id: False)
+        monkeypatch.setattr(_fleet.Fleet, "is_unreachable", lambda self, worker_id: False)
     cell = make_cell(n_instances=2, n_workers=2)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="3.0 done 6000")
     cell.advance(0.5)
@@ -214,7 +214,9 @@
 
 
 def _has_left_or_lost_an_answer(self, now):
-    return self.leaves_at is not None and now > self.leaves_at and self.silent and not self.listed
+    return (
+        self.leaves_at is not None and now > self.leaves_at and self.unreachable and not self.listed
+    )
 
 
 def test_worker_that_was_forgotten_and_comes_back_is_held_once():
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -122,7 +122,7 @@
     def _note_lost_worker(self, worker, had_trial, now):
         worker_id = worker.info.worker_id
         at, had_trial_before = self._lost_workers.get(
-            worker_id, (worker.silent_at if worker.silent else now, False)
+            worker_id, (worker.unreachable_since if worker.unreachable else now, False)
         )
         self._lost_workers[worker_id] = (at, had_trial or had_trial_before)
         for other, (lost_at, _) in list(self._lost_workers.items()):
@@ -135,9 +135,9 @@
             return False
         lost_at, _ = self._lost_workers[worker_id]
         others = {
-            other: (worker.silent_at, other in self.trials)
+            other: (worker.unreachable_since, other in self.trials)
             for other, worker in self.workers.items()
-            if worker.silent
+            if worker.unreachable
         }
         others.update(self._lost_workers)
         others.pop(worker_id, None)
@@ -221,7 +221,7 @@
             return []
         if suspect.task.name in worker.runs or lost.fate is LossOutcome.CRASHED:
             return []
-        if worker.confirmed and not worker.silent:
+        if worker.confirmed and not worker.unreachable:
             suspect.history.forget(lost.worker_id)
             suspect.step.job.touch(now)
             suspect.step.job.wake()
--- a/anvilflow/jobs/_evacuation.py
+++ b/anvilflow/jobs/_evacuation.py
@@ -13,7 +13,7 @@
     """Return the runs that cannot end before their worker does."""
     leaving = []
     for worker in scheduler.workers.values():
-        if worker.leaves_at is None or worker.silent:
+        if worker.leaves_at is None or worker.unreachable:
             continue
         left = worker.leaves_at - now
         leaving += [
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -7,7 +7,7 @@
 #: Silence after which a worker counts as dark. A call without an answer is made again at once, and
 #: one that was only lost has its answer in some 5 ms. What dies in this time and the 0.15 s between
 #: two writes of the row beside a dark worker costs 3.2 s of waiting. Unit: seconds.
-DARK_S = 0.1
+UNREACHABLE_S = 0.1
 
 #: Workers and runs in the row at the most: some 45 KB of the 64 KB that a row holds. A larger row
 #: would be refused, and with it all that the home records. Those left out only make the next home
@@ -41,7 +41,7 @@
     """
     handover = []
     for worker in scheduler.workers.values():
-        if _is_dark(worker, now):
+        if _is_unreachable(worker, now):
             runs = [(run.task, run.run_id) for run in worker.runs.values()]
             fresh = [index for index, run in enumerate(worker.runs.values()) if run.is_fresh]
             handover.append(
@@ -72,7 +72,7 @@
     return kept
 
 
-def _is_dark(worker, now):
+def _is_unreachable(worker, now):
     if not worker.confirmed:
         return worker.runs_known
-    return worker.silent and now - worker.silent_at >= DARK_S
+    return worker.unreachable and now - worker.unreachable_since >= UNREACHABLE_S
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -78,9 +78,9 @@
                 self._drop_run(run, now)
         self.note_survivals(worker, now)
         self._hear(worker, now)
-        if worker.silent:
+        if worker.unreachable:
             self.needs_whole_plan = True
-        worker.silent = worker.nobody_listens = False
+        worker.unreachable = worker.connection_refused = False
         actions += pace_fillers(self, worker, now)
         return actions
 
--- a/anvilflow/jobs/_sickness.py
+++ b/anvilflow/jobs/_sickness.py
@@ -62,7 +62,7 @@
     sick = []
     usual_times = {}
     for worker in scheduler.workers.values():
-        if worker.silent:
+        if worker.unreachable:
             continue
         for run in worker.runs.values():
             step = run.step
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -182,7 +182,7 @@
 
     def max_age_s(self, now):
         """Upper bound of the run's age when its worker was lost. Unit: seconds."""
-        lost_at = self.worker.silent_at if self.worker.silent else now
+        lost_at = self.worker.unreachable_since if self.worker.unreachable else now
         return max(0.0, lost_at - self.began_at)
 
 
@@ -196,12 +196,13 @@
 
     `runs_known` says that an earlier home named all that may run on a worker that has not answered
     this one. `in_handover` says that the home's row names what runs here, see `_handover`.
-    `nobody_listens` says that the last call's connection was refused.
+    `connection_refused` says that the last call's connection was refused.
     """
 
     __slots__ = (
         "ack_queue",
         "confirmed",
+        "connection_refused",
         "cpu_free",
         "gpu_free",
         "in_handover",
@@ -212,14 +213,13 @@
         "listed",
         "memory_free",
         "n_bad",
-        "nobody_listens",
         "orphan_runs",
         "retry_at",
         "runs",
         "runs_known",
-        "silent",
-        "silent_at",
         "slowness",
+        "unreachable",
+        "unreachable_since",
     )
 
     def __init__(self, *, info, lease_over_at):
@@ -227,9 +227,9 @@
         self.runs = {}
         self.orphan_runs = {}
         self.confirmed = False
-        self.silent = False
-        self.silent_at = None
-        self.nobody_listens = False
+        self.unreachable = False
+        self.unreachable_since = None
+        self.connection_refused = False
         self.runs_known = False
         self.in_handover = False
         self.listed = True
@@ -275,7 +275,7 @@
         answer beside them meant a second run of each of its tasks, while the first ones went on.
         """
         is_time_over = self.leaves_at is not None and now > self.leaves_at
-        return is_time_over and self.nobody_listens and not self.listed
+        return is_time_over and self.connection_refused and not self.listed
 
     @property
     def is_leaving(self):
@@ -284,7 +284,7 @@
 
     def is_lapsed(self, now):
         """Whether the worker is unreachable and all leases that it was sent have expired."""
-        return now >= self.lease_over_at and (self.silent or not self.listed)
+        return now >= self.lease_over_at and (self.unreachable or not self.listed)
 
     def add_run(self, run):
         """Count a run's room."""
@@ -325,7 +325,7 @@
             self.confirmed
             and not self.in_handover
             and self.listed
-            and not self.silent
+            and not self.unreachable
             and not self.orphan_runs
             and not self.info.draining
             and now >= self.retry_at
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -96,15 +96,15 @@
         if worker is not None:
             worker.listed = False
 
-    def worker_silent(self, worker_id, now, *, nobody_listens=False):
+    def worker_unreachable(self, worker_id, now, *, connection_refused=False):
         """Calls to a worker fail: it gets no new work until it answers."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        worker.nobody_listens = nobody_listens
-        if not worker.silent:
-            worker.silent = True
-            worker.silent_at = now
+        worker.connection_refused = connection_refused
+        if not worker.unreachable:
+            worker.unreachable = True
+            worker.unreachable_since = now
 
     def note_handover(self, worker_ids):
         """Note which workers the home's row names, now that it is durable."""
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -47,7 +47,7 @@
 def _crash(scheduler, worker_id, now):
     """Replace a worker by another incarnation at its address; return the actions."""
     address = scheduler.workers[worker_id].info.address
-    scheduler.worker_silent(worker_id, now)
+    scheduler.worker_unreachable(worker_id, now)
     actions = scheduler.worker_ended(worker_id, now, is_replaced=True)
     successor = f"w{next(_numbers)}"
     scheduler.worker_listed(make_worker_info(0, worker_id=successor, address=address), now)
@@ -98,10 +98,10 @@
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
-    scheduler.worker_silent(start.worker_id, 0.1)
+    scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.worker_ended(start.worker_id, 4.0, is_replaced=is_confirmed)
     [start] = _plan(scheduler, 4.5)
-    scheduler.worker_silent(start.worker_id, 4.6)
+    scheduler.worker_unreachable(start.worker_id, 4.6)
     scheduler.worker_ended(start.worker_id, 8.0, is_replaced=is_confirmed)
     assert (_state(scheduler) is JobState.FAILED) is is_confirmed
 
@@ -111,7 +111,7 @@
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
-    scheduler.worker_silent(start.worker_id, 0.1)
+    scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.lost_leases(9.0)
     assert list(scheduler.suspects) == [TASK]
     scheduler.report(start.worker_id, make_report(), requested_at=9.5, now=9.5)
@@ -344,7 +344,7 @@
     [start] = _plan(scheduler, 0.5)
     idle = [name for name, worker in scheduler.workers.items() if not worker.runs]
     for worker_id in idle[:n_others]:
-        scheduler.worker_silent(worker_id, 0.9)
+        scheduler.worker_unreachable(worker_id, 0.9)
     _crash(scheduler, start.worker_id, 0.6)
     assert (_state(scheduler) is JobState.FAILED) is (n_others == 0)
 
--- a/anvilflow/jobs/tests/test_plans.py
+++ b/anvilflow/jobs/tests/test_plans.py
@@ -97,7 +97,7 @@
 def test_worker_that_answers_again_is_used_by_the_next_plan():
     """A worker falls silent and answers between two whole plans: what waits for it starts."""
     scheduler = make_cell(1)
-    scheduler.worker_silent("w0", 0.0)
+    scheduler.worker_unreachable("w0", 0.0)
     assert submit(scheduler, "00000000000000e1", FIRST, LARGE, 0.0) == []
     scheduler.report("w0", make_report(), requested_at=0.01, now=0.01)
     assert len(plan_starts(scheduler, 0.01)) == 1
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -255,8 +255,8 @@
     assert again.worker_id != start.worker_id
 
 
-@pytest.mark.parametrize("nobody_listens", [True, False])
-def test_worker_that_left_when_it_said_so_is_not_waited_for(nobody_listens):
+@pytest.mark.parametrize("connection_refused", [True, False])
+def test_worker_that_left_when_it_said_so_is_not_waited_for(connection_refused):
     """Its time is over, its entry is gone and it refuses connections: what ran there has ended.
 
     One that only does not answer may have stayed longer: its tasks wait for the lease.
@@ -267,13 +267,13 @@
     number = int(start.worker_id[1:])
     scheduler.workers[start.worker_id].lease_over_at = 99.0
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=2.0), 1.0)
-    scheduler.worker_silent(start.worker_id, 0.0)
-    scheduler.worker_silent(start.worker_id, 2.0, nobody_listens=nobody_listens)
+    scheduler.worker_unreachable(start.worker_id, 0.0)
+    scheduler.worker_unreachable(start.worker_id, 2.0, connection_refused=connection_refused)
     scheduler.worker_unlisted(start.worker_id)
     assert scheduler.plan(2.9, 2.9) == []
-    if not nobody_listens:
+    if not connection_refused:
         assert scheduler.plan(98.9, 98.9) == []
-    [again] = scheduler.plan(3.1 if nobody_listens else 99.1, 99.1)
+    [again] = scheduler.plan(3.1 if connection_refused else 99.1, 99.1)
     assert again.worker_id != start.worker_id
 
 
@@ -284,7 +284,7 @@
     answer_started(scheduler, [start], 0.0)
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=0.5), 0.0)
-    scheduler.worker_silent(start.worker_id, 0.6, nobody_listens=True)
+    scheduler.worker_unreachable(start.worker_id, 0.6, connection_refused=True)
     scheduler.report(start.worker_id, make_report([item(start, 10)]), requested_at=0.7, now=0.7)
     scheduler.worker_unlisted(start.worker_id)
     scheduler.workers[start.worker_id].lease_over_at = 99.0
@@ -300,7 +300,7 @@
     scheduler = make_scheduler(n_workers=2)
     [first] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [first], 0.0)
-    scheduler.worker_silent(first.worker_id, 0.0)
+    scheduler.worker_unreachable(first.worker_id, 0.0)
     [second] = [item for item in scheduler.plan(9.0, 9.0) if isinstance(item, StartRun)]
     for start, now in ((second, 10.0), (first, 11.0)):
         end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="failed", checkpoint="")
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -89,7 +89,7 @@
         monkeypatch.setattr(_sickness, "RESTORE_S", 0.0)
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=2.0, checkpointing=True)
-    scheduler.worker_silent("w0", 0.0)
+    scheduler.worker_unreachable("w0", 0.0)
     [start] = add_job(scheduler, step)
     _, task = scheduler.find_task(start.task)
     run = task.runs[start.worker_id]
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -72,6 +72,6 @@
     _hear(scheduler, "w1", 0.5, active=[_active(2)])
     scheduler.workers["w1"].lease_sent(0.5, 3.0)
     _hear(scheduler, "w0", 0.7)
-    scheduler.worker_silent("w1", 0.8)
+    scheduler.worker_unreachable("w1", 0.8)
     assert _starts(scheduler.plan(3.0, 3.0)) == []
     assert len(_starts(scheduler.plan(4.0, 4.0))) == 1
