--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -259,7 +259,7 @@
             self._open_session(info)
             self.registry_entry_removed(info.worker_id)
         if handover.runs is not None:
-            self.scheduler.take_on_unheard(info.worker_id, handover.runs, self._now())
+            self.scheduler.adopt_unconfirmed_runs(info.worker_id, handover.runs, self._now())
             fresh = [handover.runs[index] for index in handover.fresh]
             self.scheduler.note_fresh_runs(info.worker_id, fresh)
         self.log.info(
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -62,7 +62,7 @@
     Without the names it runs twice.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "take_on_unheard", _forget_runs)
+        monkeypatch.setattr(Scheduler, "adopt_unconfirmed_runs", _forget_runs)
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
     cell.advance(1.0)
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -49,7 +49,9 @@
         if worker is None:
             return []
         self.needs_whole_plan = True
-        self._has_lost_unheard_worker = self._has_lost_unheard_worker or not worker.confirmed
+        self._has_lost_unconfirmed_worker = (
+            self._has_lost_unconfirmed_worker or not worker.confirmed
+        )
         fate = LossOutcome.CRASHED if is_replaced else LossOutcome.GONE
         tasks = sorted(worker.runs)
         for run in list(worker.runs.values()):
@@ -63,7 +65,7 @@
         self._note_lost_worker(worker, False, now)
         return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
 
-    def take_on_unheard(self, worker_id, runs, now):
+    def adopt_unconfirmed_runs(self, worker_id, runs, now):
         """Take on what an earlier home named as running on a worker that it could not reach.
 
         The tasks stay there until the worker answers or its lease has surely ended; all others need
@@ -96,7 +98,7 @@
         be heard, or what it still begins would run on under leases that nobody watches.
         """
         if self.grace_period.waited(now):
-            self._bound_unheard_leases()
+            self._bound_unconfirmed_leases()
         for worker in list(self.workers.values()):
             has_left = worker.has_left(now)
             if not (has_left or worker.is_lapsed(now)):
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -77,7 +77,7 @@
             if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
                 self._drop_run(run, now)
         self.note_survivals(worker, now)
-        self._hear(worker, now)
+        self._confirm_worker(worker, now)
         if worker.unreachable:
             self.needs_whole_plan = True
         worker.unreachable = worker.connection_refused = False
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -70,7 +70,7 @@
         self.is_store_unavailable = False
         self.wall_offset_s = 0.0
         self._held_starts = []
-        self._has_lost_unheard_worker = False
+        self._has_lost_unconfirmed_worker = False
 
     def _add_suspect(self, step, task):
         """Return the task's entry in `suspects`, adding it if needed; None for an ended task."""
@@ -211,7 +211,7 @@
 
     def _may_miss_runs(self):
         return (
-            self._has_lost_unheard_worker
+            self._has_lost_unconfirmed_worker
             or not self.grace_period.knows_all
             or not all(worker.confirmed for worker in self.workers.values())
         )
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -57,7 +57,7 @@
         worker = self.workers.get(info.worker_id)
         is_new = worker is None
         if is_new:
-            worker = Worker(info=info, lease_over_at=self._unheard_lease_over_at())
+            worker = Worker(info=info, lease_over_at=self._unconfirmed_lease_over_at())
             self.workers[info.worker_id] = worker
             self.grace_period.worker_found(info.worker_id)
             worker.in_handover = info.worker_id in self.nameless
@@ -68,17 +68,17 @@
         worker.note_leaving(now)
         return is_new
 
-    def _unheard_lease_over_at(self):
+    def _unconfirmed_lease_over_at(self):
         over_at = self.grace_period.leases_over_at
         return _NEVER if over_at is None else over_at
 
-    def _bound_unheard_leases(self):
+    def _bound_unconfirmed_leases(self):
         """All leases of earlier homes have an end now: those of unheard workers, too."""
         for worker in self.workers.values():
             if not worker.confirmed:
                 worker.lease_over_at = self.grace_period.leases_over_at
 
-    def _hear(self, worker, now):
+    def _confirm_worker(self, worker, now):
         """Note that a worker has answered this home: it refuses every earlier one from now on."""
         if worker.confirmed:
             return
@@ -88,7 +88,7 @@
         worker.lease_over_at = lease_end(now, self.lease_s)
         n_heard = sum(each.confirmed for each in self.workers.values())
         if self.grace_period.heard(n_heard, len(self.workers), now):
-            self._bound_unheard_leases()
+            self._bound_unconfirmed_leases()
 
     def worker_unlisted(self, worker_id):
         """A worker is no longer on the list: it gets no new work, what runs there runs on."""
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -30,7 +30,7 @@
     add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=20_000))
     task = scheduler.jobs["00000000000000a1"].steps[0, 0].tasks[0]
     scheduler.jobs["00000000000000a1"].steps[0, 0].spec = StepSpec(n_tasks=1, cpu_milli=1_000)
-    scheduler.take_on_unheard("w0", [(TASK, 1)], 0.1)
+    scheduler.adopt_unconfirmed_runs("w0", [(TASK, 1)], 0.1)
     assert [run.run_id for run in task.runs.values()] == [1]
     return scheduler
 
