--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -2,7 +2,7 @@
 
 from ._actions import RequestAdvice
 from ._job import TaskState
-from ._sickness import is_slow
+from ._stalled_runs import is_slow
 
 #: Time that a ticket must still be valid when a start is sent. A start reaches a worker within a
 #: few milliseconds; a busy instance adds some tens. Unit: seconds.
--- a/anvilflow/jobs/_ranking.py
+++ b/anvilflow/jobs/_ranking.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from ._sickness import is_slow
+from ._stalled_runs import is_slow
 
 
 class _PlainTask(Struct, frozen=True):
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -5,7 +5,7 @@
 from ._crash_tracker import CrashTracker
 from ._job import JobState, TaskState
 from ._pacing import pace_fillers
-from ._sickness import note_duration
+from ._stalled_runs import note_duration
 from ._worker import OrphanRun, PendingEnd
 
 #: Runs that one home may start of a task before another home's numbers begin. A new home does not
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -8,7 +8,7 @@
 from ._policy import SchedulingPolicy
 from ._reservations import Reservations
 from ._run_tracker import RunTracker
-from ._sickness import GIVEN_UP_SLOWNESS, find_sick_runs, has_copy
+from ._stalled_runs import GIVEN_UP_SLOWNESS, find_stalled_runs, has_copy
 
 #: Least time between two looks at all jobs and runs for what falls due by time alone: occurrences,
 #: leases, leaving workers, sick runs. A plan follows each event, hundreds a second on 176 workers,
@@ -227,7 +227,7 @@
                 actions += self._take_up(job, now)
         self.lost_leases(now)
         actions += self.review_suspects(now)
-        return actions + self._move_leaving_runs(now) + self._give_up_sick_runs(now)
+        return actions + self._move_leaving_runs(now) + self._stop_stalled_runs(now)
 
     def _move_leaving_runs(self, now):
         actions = []
@@ -235,17 +235,19 @@
             actions += self._stop(run, now, "worker leaves")
         return actions
 
-    def _give_up_sick_runs(self, now):
+    def _stop_stalled_runs(self, now):
         """Stop runs that stand still or crawl, and keep new work off their workers for a while.
 
         What may have copies keeps the first run: the plan starts a second beside it.
         """
         actions = []
-        sick = find_sick_runs(self, now) if self.policy.judges_runs else []
-        sick_runs = {id(run) for run, _ in sick}
-        for run, why in sick:
+        stalled = find_stalled_runs(self, now) if self.policy.judges_runs else []
+        stalled_runs = {id(run) for run, _ in stalled}
+        for run, why in stalled:
             step, task = self.find_task(run.task)
-            if step.job.is_ended or any(id(other) not in sick_runs for other in task.runs.values()):
+            if step.job.is_ended or any(
+                id(other) not in stalled_runs for other in task.runs.values()
+            ):
                 continue
             task.avoid.add(run.worker.info.worker_id)
             task.n_given_up += 1
--- a/anvilflow/jobs/_sickness.py
+++ b/anvilflow/jobs/_stalled_runs.py
@@ -50,7 +50,7 @@
     return worker.slowness > policy.slow_times
 
 
-def find_sick_runs(scheduler, now):
+def find_stalled_runs(scheduler, now):
     """Return the runs that should be given up for others, each with the reason.
 
     Long-running tasks show no progress, members of a gang wait for each other, and what fills may
@@ -59,7 +59,7 @@
     A task that was given up before is given twice as long each time: the task may be what is wrong.
     Without that, a job whose estimate was a tenth of its length was stopped for ever.
     """
-    sick = []
+    stalled = []
     usual_times = {}
     for worker in scheduler.workers.values():
         if worker.unreachable:
@@ -73,14 +73,14 @@
                 continue
             patience = 2**task.n_given_up
             if _stands_still(run, patience):
-                sick.append((run, "stands still"))
+                stalled.append((run, "stands still"))
             elif _looks_slow(run, patience):
                 times = usual_times.get(step_run.key)
                 if times is None:
                     times = usual_times[step_run.key] = _full_times(step_run)
                 if _is_better_elsewhere(scheduler, times, run, now, patience):
-                    sick.append((run, "slow"))
-    return sick
+                    stalled.append((run, "slow"))
+    return stalled
 
 
 def _stands_still(run, patience):
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -10,7 +10,7 @@
     StartRun,
     StepSpec,
     StopRun,
-    _sickness,
+    _stalled_runs,
 )
 
 from .test_scheduler import QUEUE, add_job, answer_started, item, make_report, make_scheduler
@@ -86,7 +86,7 @@
 def test_resumed_run_that_reads_its_checkpoint_does_not_stand_still(monkeypatch, safeguard):
     """A run that was moved shows no progress for 0.6 s; stopped for it, it would never end."""
     if not safeguard:
-        monkeypatch.setattr(_sickness, "RESTORE_S", 0.0)
+        monkeypatch.setattr(_stalled_runs, "RESTORE_S", 0.0)
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=2.0, checkpointing=True)
     scheduler.worker_unreachable("w0", 0.0)
