--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -91,7 +91,7 @@
         return value
 
     def _add_row(self, row, record):
-        if self.scheduler.knows_job(row.key):
+        if self.scheduler.has_job(row.key):
             # Most rows that a home reads when it begins are of jobs that have ended.
             self.known_up_to(row.version)
             return
--- a/anvilflow/jobs/_job.py
+++ b/anvilflow/jobs/_job.py
@@ -212,7 +212,7 @@
         self.is_idle = False
         self.is_changed = True
 
-    def rest_if_idle(self):
+    def suspend_if_idle(self):
         """Leave the job out of plans until something happens to it: nothing of it waits.
 
         Most jobs run. To look at each of their tasks after every event took a home of 950 workers
--- a/anvilflow/jobs/_pacing.py
+++ b/anvilflow/jobs/_pacing.py
@@ -13,7 +13,7 @@
 PACES = (0, 25, 50, 100)
 
 
-def pace_fillers(scheduler, worker, now):
+def pace_background_tasks(scheduler, worker, now):
     """Return the changes of pace on a worker after its report.
 
     A late tail stops all that fills at once: the users of the serving task wait now, and whether it
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -86,7 +86,7 @@
             actions += _start_gang(scheduler, step, waiting, now)
         else:
             actions += _start_tasks(scheduler, step, waiting, now)
-    job.rest_if_idle()
+    job.suspend_if_idle()
     return actions
 
 
@@ -107,7 +107,7 @@
         else:
             actions += _place(scheduler, step, waiting, workers, now)
     if actions:
-        job.rest_if_idle()
+        job.suspend_if_idle()
     return actions
 
 
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -4,7 +4,7 @@
 from ._advice import has_ticket
 from ._crash_tracker import CrashTracker
 from ._job import JobState, TaskState
-from ._pacing import pace_fillers
+from ._pacing import pace_background_tasks
 from ._stalled_runs import note_duration
 from ._worker import OrphanRun, PendingEnd
 
@@ -81,7 +81,7 @@
         if worker.unreachable:
             self.needs_whole_plan = True
         worker.unreachable = worker.connection_refused = False
-        actions += pace_fillers(self, worker, now)
+        actions += pace_background_tasks(self, worker, now)
         return actions
 
     def _active(self, worker, item, clock_s, now):
@@ -132,7 +132,7 @@
         Runs of ended jobs must not wait for that: a home that takes over after a cancelling would
         let them run on, and so would each one after it.
         """
-        return not self.knows_job(job_id)
+        return not self.has_job(job_id)
 
     def _may_become_known(self, name):
         job_id = name.split(".", 1)[0]
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -72,7 +72,7 @@
 
     def add_job(self, spec, queue, *, version, now, wall_now, record=None, config_version=0):
         """Take on an accepted job; return False when it is known already."""
-        if self.knows_job(spec.job_id):
+        if self.has_job(spec.job_id):
             return False
         self.jobs[spec.job_id] = JobRun(
             spec=spec,
@@ -214,11 +214,11 @@
         self.wall_offset_s = wall_now - now
         if now >= self._looked_at + LOOK_S:
             self._looked_at = now
-            actions = self._look_round(now, wall_now)
+            actions = self._run_periodic_checks(now, wall_now)
         actions += self.take_recorded_starts(now)
         return actions + self.hold_unrecorded_starts(plan_starts(self, now, n_wanted), now)
 
-    def _look_round(self, now, wall_now):
+    def _run_periodic_checks(self, now, wall_now):
         """See what falls due by time alone, on any worker and for any job."""
         actions = []
         for job in self.jobs.values():
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -115,7 +115,7 @@
 
     # Runs
 
-    def knows_job(self, job_id):
+    def has_job(self, job_id):
         """Whether a job has been heard of, also when it has ended."""
         return job_id in self.jobs or job_id in self.ended
 
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -357,7 +357,7 @@
     processor, and every lookup waited for it.
     """
     if not safeguard:
-        monkeypatch.setattr(JobRun, "rest_if_idle", lambda self: None)
+        monkeypatch.setattr(JobRun, "suspend_if_idle", lambda self: None)
     scheduler = make_scheduler(n_workers=20)
     for number in range(100):
         step = StepSpec(n_tasks=1, cpu_milli=100)
