--- a/anvilflow/cell/_advice_dispatcher.py
+++ b/anvilflow/cell/_advice_dispatcher.py
@@ -8,7 +8,7 @@
 TIMEOUT_S = 3.0
 
 #: Time for which an instance that gave no answer is left out. Unit: seconds.
-REST_S = 1.0
+BACKOFF_S = 1.0
 
 
 class AdviceDispatcher:
@@ -62,7 +62,7 @@
 
     def _failed(self, failure, name):
         failure.trap(AnvilflowError)
-        self._rested[name] = self.context.clock.seconds() + REST_S
+        self._rested[name] = self.context.clock.seconds() + BACKOFF_S
         return None
 
     def _over(self, result, name, length_s):
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -11,8 +11,8 @@
 
 #: Time for which a carrier gets no orders after one that it did not answer, or did not carry out:
 #: doubled each time up to the longest, unless it carried out orders for as long. Unit: seconds.
-REST_S = 1.0
-MAX_REST_S = 16.0
+BACKOFF_S = 1.0
+MAX_BACKOFF_S = 16.0
 
 #: Share of the link, in either direction, from which orders are carried: bursts are several times
 #: what is usual, and on a full link all calls are late.
@@ -184,8 +184,8 @@
         until, length_s = self._rests.get(name, (float("-inf"), 0.0))
         if now < until:
             return
-        is_again = now - until < MAX_REST_S
-        length_s = min(MAX_REST_S, 2 * length_s) if is_again else REST_S
+        is_again = now - until < MAX_BACKOFF_S
+        length_s = min(MAX_BACKOFF_S, 2 * length_s) if is_again else BACKOFF_S
         self._rests[name] = (now + length_s, length_s)
         self._names_until = float("-inf")
         self.log.info("carrier rests", carrier=name, why=why, rest_s=length_s)
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -17,8 +17,8 @@
 
 #: First wait before a worker that refused or failed without reason gets work again, doubled each
 #: time. Unit: seconds.
-FIRST_REST_S = 0.5
-MAX_REST_S = 8.0
+FIRST_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
 
 #: Doublings after which it is the longest in any case: unbounded, the power passed what a float
 #: holds after 1,025 bad ends in a row, and the home ended with an OverflowError.
@@ -297,7 +297,7 @@
         worker.n_bad += 1
         if worker.n_bad >= BAD_ENDS:
             n_doublings = min(MAX_DOUBLINGS, worker.n_bad - BAD_ENDS)
-            rest = min(MAX_REST_S, FIRST_REST_S * 2**n_doublings)
+            rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**n_doublings)
             worker.retry_at = now + rest
 
     # Answers to calls
@@ -327,7 +327,7 @@
             run.job.hold_back_until = now + NO_PAYLOAD_S
         elif outcome in ("room", "unhealthy"):
             self._worker_did_badly(run.worker, now)
-            run.worker.retry_at = max(run.worker.retry_at, now + FIRST_REST_S)
+            run.worker.retry_at = max(run.worker.retry_at, now + FIRST_BACKOFF_S)
         self._drop_run(run, now)
         return self._stop_rest_of_gang(task, run_id, now)
 
