--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -354,7 +354,7 @@
             self.act(self._intake.take(row))
         self._scheduler.jobs_read(requested_at)
         self._fleet.acknowledge()
-        self._recorder.hurry()
+        self._recorder.trigger()
         self.changed()
 
     def _take_workers(self, rows, is_whole, version, _):
@@ -399,7 +399,7 @@
         n_wanted = self._fleet.n_wanted_starts()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
         if scheduler.holds_starts:
-            self._recorder.hurry()
+            self._recorder.trigger()
 
     def _plan_due(self):
         if self._planned is None:
@@ -467,7 +467,7 @@
 
     def ends_told(self):
         """Ends wait for their record."""
-        self._recorder.hurry()
+        self._recorder.trigger()
 
     # Records
 
--- a/anvilflow/cell/_leader_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -71,7 +71,7 @@
         done = Deferred()
         self._cancelling.setdefault(job_id, []).append(done)
         self.leader.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
-        self.recorder.hurry()
+        self.recorder.trigger()
         self.leader.changed()
         return done
 
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -121,9 +121,9 @@
     def close(self):
         """Write no more."""
         self.stopped = True
-        self.hurry()
+        self.trigger()
 
-    def hurry(self):
+    def trigger(self):
         """Write now what is due."""
         if self._wake is not None and self._wake.active():
             self._wake.reset(0)
--- a/anvilflow/parts/_config.py
+++ b/anvilflow/parts/_config.py
@@ -32,7 +32,7 @@
     def start(self):
         """Follow the table."""
         self.context.changes = self
-        self.on(RevisionHint, lambda *_: self._ticker.hurry())
+        self.on(RevisionHint, lambda *_: self._ticker.trigger())
         self._ticker = self.every(self.context.settings.timing.config_poll_s, self._follow)
 
     def dump(self):
@@ -43,9 +43,9 @@
             "changes_kept": len(self._changes),
         }
 
-    def hurry(self):
+    def trigger(self):
         """Read the table now."""
-        self._ticker.hurry()
+        self._ticker.trigger()
 
     def changes_after(self, revision, limit):
         """Return the changes that follow `revision`; AF203 when they are no longer kept."""
@@ -74,7 +74,7 @@
                 more = bool(changes) and self._apply(changes)
         except RevisionGoneError:
             self._listed = False
-            self._ticker.hurry()
+            self._ticker.trigger()
         except PlatformError as exc:
             self.log.debug("Configuration not read: {}.", exc)
 
--- a/anvilflow/parts/_gateway.py
+++ b/anvilflow/parts/_gateway.py
@@ -315,7 +315,7 @@
         written = yield self.context.resources.write(
             f"Job/{job.customer}/{job.name}", job, expected=0, check=same
         )
-        self.context.changes.hurry()
+        self.context.changes.trigger()
         return written
 
     def _check_fits(self, job):
@@ -380,7 +380,7 @@
         written = yield self.context.resources.write(
             f"Job/{customer}/{name}", None, check=cancelling
         )
-        self.context.changes.hurry()
+        self.context.changes.trigger()
         return written
 
     @inlineCallbacks
--- a/anvilflow/parts/_home.py
+++ b/anvilflow/parts/_home.py
@@ -489,7 +489,7 @@
 
     def _phase_written(self, home, message):
         home.book.phase_recorded(message.job, message.phase)
-        self.context.changes.hurry()
+        self.context.changes.trigger()
 
     def _phase_failed(self, failure, home, message):
         if self._homes.get(message.customer) is not home:
--- a/anvilflow/parts/_operators.py
+++ b/anvilflow/parts/_operators.py
@@ -195,7 +195,7 @@
     def _accepted(self, written):
         if written.changed and self.context.history is not None:
             self.context.history.add(ConfigAccepted, revision=written.revision)
-        self.context.changes.hurry()
+        self.context.changes.trigger()
 
     def _check_unused(self, kind, name):
         catalog = self.context.catalog
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -544,7 +544,7 @@
         if body.hold_id in owned.ended:
             return
         owned.bars.add(body.hold_id)
-        owned.ticker.hurry()
+        owned.ticker.trigger()
 
     def _task_query(self, source, body):
         """Say what became of attempts; only the worker's present owner can.
@@ -564,7 +564,7 @@
             elif self._book.worker_of(hold_id) is None:
                 self._act(self._book.release_hold(hold_id, self.now))
                 owned.bars.add(hold_id)
-                owned.ticker.hurry()
+                owned.ticker.trigger()
 
     def _task_acknowledge(self, _, body):
         self._hold_homes.pop(body.hold_id, None)
--- a/anvilflow/utils/_timing.py
+++ b/anvilflow/utils/_timing.py
@@ -42,7 +42,7 @@
             self._delayed.cancel()
         self._delayed = None
 
-    def hurry(self):
+    def trigger(self):
         """Make the next call now unless one is running."""
         if self._delayed is not None and self._delayed.active():
             self._delayed.reset(0)
