--- a/anvilflow/decisions/__init__.py
+++ b/anvilflow/decisions/__init__.py
@@ -1,11 +1,11 @@
 """Pure decisions: inputs and time in, messages out; no I/O and no clock."""
 
 from ._fair_queue import FairQueue, QueuedItem
-from ._home import (
+from ._job_coordinator import (
     AckTask,
     AskHold,
     EndJob,
-    HomeBook,
+    JobCoordinator,
     RecordEnd,
     RecordIntent,
     ReleaseHold,
@@ -45,7 +45,7 @@
     "HoldGranted",
     "HoldRefused",
     "HoldRevoked",
-    "HomeBook",
+    "JobCoordinator",
     "LeaseClock",
     "MessageAge",
     "Outcome",
--- a/anvilflow/decisions/_home.py
+++ b/anvilflow/decisions/_job_coordinator.py
@@ -165,7 +165,7 @@
 _BOUND = {TaskState.RECORDING, TaskState.STARTED}
 
 
-class HomeBook:
+class JobCoordinator:
     """The jobs of one customer.
 
     Parameters
--- a/anvilflow/parts/__init__.py
+++ b/anvilflow/parts/__init__.py
@@ -4,9 +4,9 @@
 from ._calls import JobCall, RequestAnswer, RequestCall
 from ._config import ConfigPart
 from ._context import Context
+from ._coordinator import CoordinatorPart, coordinator_key
 from ._daemon import Daemon, make_daemon
 from ._gateway import GatewayPart
-from ._home import HomePart, home_key
 from ._members import MembersPart
 from ._operators import OperatorsPart
 from ._owner import OwnerPart
@@ -17,9 +17,9 @@
     "Bus",
     "ConfigPart",
     "Context",
+    "CoordinatorPart",
     "Daemon",
     "GatewayPart",
-    "HomePart",
     "JobCall",
     "MembersPart",
     "OperatorsPart",
@@ -31,6 +31,6 @@
     "RequestCall",
     "StorePart",
     "Supervisor",
-    "home_key",
+    "coordinator_key",
     "make_daemon",
 ]
--- a/anvilflow/parts/_home.py
+++ b/anvilflow/parts/_coordinator.py
@@ -9,7 +9,7 @@
     AckTask,
     AskHold,
     EndJob,
-    HomeBook,
+    JobCoordinator,
     RecordEnd,
     RecordIntent,
     RefuseReason,
@@ -52,12 +52,12 @@
 _ENDED = {JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED}
 
 
-def home_key(customer):
+def coordinator_key(customer):
     """Return the key by which the home of a customer is chosen."""
     return f"home/{customer}"
 
 
-class _Home:
+class _Coordinator:
     """One customer whose home this instance is."""
 
     __slots__ = ("book", "epoch", "owners", "records", "stopping")
@@ -70,7 +70,7 @@
         self.stopping = {}
 
 
-class HomePart(Part):
+class CoordinatorPart(Part):
     """Runs the jobs of the customers that fall to this instance.
 
     The home's row in the table fences it: each record of an intent is written on the condition
@@ -82,7 +82,7 @@
 
     def __init__(self, *, context):
         super().__init__(context=context)
-        self._homes = {}
+        self._coordinators = {}
         self._loading = set()
         self._submitted = {}
         self._stopped = False
@@ -98,24 +98,26 @@
         self.on(HoldAnswer, self._hold_answer)
         self.on(TaskAnswer, self._task_answer)
         self.on(StatusAsk, self._status_ask)
-        self.every(lambda: _TICK_S if self._homes else _IDLE_TICK_S, self._tick, delay=_TICK_S)
+        self.every(
+            lambda: _TICK_S if self._coordinators else _IDLE_TICK_S, self._tick, delay=_TICK_S
+        )
         self.every(_QUERY_S, self._query, delay=_QUERY_S)
         self._review()
 
     def stop(self):
         """Give up all customers."""
         self._stopped = True
-        self._homes.clear()
+        self._coordinators.clear()
         super().stop()
 
     def dump(self):
         """Return the jobs by customer."""
         return {
             customer: {
-                "epoch": home.epoch,
-                "jobs": {name: home.book.status(name) for name in home.book.names()},
+                "epoch": coordinator.epoch,
+                "jobs": {name: coordinator.book.status(name) for name in coordinator.book.names()},
             }
-            for customer, home in self._homes.items()
+            for customer, coordinator in self._coordinators.items()
         }
 
     # Which customers
@@ -129,14 +131,17 @@
 
     def _mine(self, customer):
         context = self.context
-        return not self._stopped and choose_owner(context.live, home_key(customer)) == context.name
+        return (
+            not self._stopped
+            and choose_owner(context.live, coordinator_key(customer)) == context.name
+        )
 
     def _review(self):
-        for customer in [name for name in self._homes if not self._mine(name)]:
-            del self._homes[customer]
+        for customer in [name for name in self._coordinators if not self._mine(name)]:
+            del self._coordinators[customer]
             self.log.info("Jobs of {} given up.", customer)
         for customer in self._active_jobs():
-            if self._mine(customer) and customer not in self._homes:
+            if self._mine(customer) and customer not in self._coordinators:
                 self._load(customer)
 
     def _load(self, customer):
@@ -165,7 +170,7 @@
         between the reading and the fence.
         """
         table = self.context.table
-        key = home_key(customer)
+        key = coordinator_key(customer)
         [row] = yield table.read([key])
         epoch = yield table.commit(
             [Condition(key=key, version=row.version)],
@@ -176,30 +181,30 @@
         if not self._mine(customer):
             return
         limits = self.context.settings.limits
-        book = HomeBook(
+        book = JobCoordinator(
             customer=customer,
             window=limits.holds_per_customer,
             hold_s=self.context.settings.timing.hold_s,
         )
-        home = _Home(book=book, epoch=epoch)
-        self._homes[customer] = home
+        coordinator = _Coordinator(book=book, epoch=epoch)
+        self._coordinators[customer] = coordinator
         for row in rows:
             _, _, job, index = row.key.split("/")
             value = row.value
             record = (int(index), value["attempt"], value["state"], value["worker"])
-            home.records.setdefault(job, []).append(record)
+            coordinator.records.setdefault(job, []).append(record)
         self.log.info("Jobs of {} taken over.", customer)
         self._add_jobs(customer)
 
     def _catalog_changed(self, _, event):
-        for customer in list(self._homes):
+        for customer in list(self._coordinators):
             self._add_jobs(customer, event.keys)
         self._review()
 
     def _add_jobs(self, customer, keys=None):
-        home = self._homes[customer]
+        coordinator = self._coordinators[customer]
         declared = self.context.catalog.get(f"Customer/{customer}")
-        home.book.quota = declared.quota if declared else None
+        coordinator.book.quota = declared.quota if declared else None
         names = keys if keys is not None else self.context.catalog.keys(f"Job/{customer}/")
         for key in names:
             if not key.startswith(f"Job/{customer}/"):
@@ -207,13 +212,13 @@
             job = self.context.catalog.get(key)
             if job is None or job.phase in _ENDED:
                 continue
-            if job.name in home.book:
+            if job.name in coordinator.book:
                 if job.phase is JobPhase.CANCELLING:
-                    self._act(home, home.book.cancel_job(job.name))
+                    self._act(coordinator, coordinator.book.cancel_job(job.name))
                 continue
-            self._add_job(home, job)
+            self._add_job(coordinator, job)
 
-    def _add_job(self, home, job):
+    def _add_job(self, coordinator, job):
         # The configuration may lag behind the records: a job that this instance hears of only now
         # may have been run by a former home. Its records, read at the take-over, are kept for it.
         catalog = self.context.catalog
@@ -225,7 +230,7 @@
             return
         declared = catalog.get(f"Customer/{job.customer}")
         self._submitted.setdefault((job.customer, job.name), self.now)
-        out = home.book.add_job(
+        out = coordinator.book.add_job(
             job,
             age=catalog.revision_of(f"Job/{job.customer}/{job.name}"),
             needs=workload.needs,
@@ -233,68 +238,71 @@
             max_attempts=rules.max_attempts,
             weight=declared.priority if declared else 100,
             now=self.now,
-            records=home.records.pop(job.name, ()),
+            records=coordinator.records.pop(job.name, ()),
         )
-        self._act(home, out)
+        self._act(coordinator, out)
 
     # Messages from owners
 
     def _find(self, hold_id):
-        return self._homes.get(hold_id.split("/", 1)[0])
+        return self._coordinators.get(hold_id.split("/", 1)[0])
 
     def _hold_answer(self, source, body):
-        home = self._find(body.hold_id)
-        if home is None:
+        coordinator = self._find(body.hold_id)
+        if coordinator is None:
             if body.verdict == "granted":
                 self.context.send(source, HoldRelease(hold_id=body.hold_id))
             return
-        if home.owners.get(body.hold_id) != source:
+        if coordinator.owners.get(body.hold_id) != source:
             # An answer to an ask that was given up meanwhile and made to another owner.
             if body.verdict == "granted":
                 self.context.send(source, HoldRelease(hold_id=body.hold_id))
             return
         if body.verdict == "granted":
-            out = home.book.hold_granted(body.hold_id, body.worker, self.now)
+            out = coordinator.book.hold_granted(body.hold_id, body.worker, self.now)
         else:
-            home.owners.pop(body.hold_id, None)
-            out = home.book.hold_refused(body.hold_id, body.reason, self.now)
-        self._act(home, out)
+            coordinator.owners.pop(body.hold_id, None)
+            out = coordinator.book.hold_refused(body.hold_id, body.reason, self.now)
+        self._act(coordinator, out)
 
     def _task_answer(self, source, body):
-        home = self._find(body.hold_id)
-        if home is None:
+        coordinator = self._find(body.hold_id)
+        if coordinator is None:
             return
-        home.stopping.pop(body.hold_id, None)
+        coordinator.stopping.pop(body.hold_id, None)
         if body.verdict == "ended":
-            home.owners[body.hold_id] = source
-            out = home.book.task_ended(body.hold_id, body.ok, body.result)
-            if not out and not home.book.is_ending(body.hold_id):
+            coordinator.owners[body.hold_id] = source
+            out = coordinator.book.task_ended(body.hold_id, body.ok, body.result)
+            if not out and not coordinator.book.is_ending(body.hold_id):
                 out = [AckTask(hold_id=body.hold_id)]
         else:
-            home.owners.pop(body.hold_id, None)
-            out = home.book.task_lost(body.hold_id)
-        self._act(home, out)
+            coordinator.owners.pop(body.hold_id, None)
+            out = coordinator.book.task_lost(body.hold_id)
+        self._act(coordinator, out)
 
     def _peer_down(self, _, event):
         """Places asked of an owner that is gone are asked elsewhere."""
-        for home in self._homes.values():
-            lost = [key for key, owner in home.owners.items() if owner == event.instance]
+        for coordinator in self._coordinators.values():
+            lost = [key for key, owner in coordinator.owners.items() if owner == event.instance]
             for hold_id in lost:
-                del home.owners[hold_id]
-                self._act(home, home.book.hold_refused(hold_id, RefuseReason.EXPIRED, self.now))
+                del coordinator.owners[hold_id]
+                self._act(
+                    coordinator,
+                    coordinator.book.hold_refused(hold_id, RefuseReason.EXPIRED, self.now),
+                )
 
     def _query(self):
         """Ask the owners of the workers what became of tasks that should run there."""
         context = self.context
-        for home in self._homes.values():
+        for coordinator in self._coordinators.values():
             by_worker = {}
-            for hold_id, worker in home.book.bound_tasks().items():
+            for hold_id, worker in coordinator.book.bound_tasks().items():
                 by_worker.setdefault(worker, []).append(hold_id)
             for worker, hold_ids in by_worker.items():
                 owner = choose_owner(context.live, worker)
                 if owner is not None:
                     context.send(owner, TaskQuery(worker=worker, hold_ids=hold_ids))
-            for hold_id, worker in home.stopping.items():
+            for hold_id, worker in coordinator.stopping.items():
                 self._send_stop(hold_id, worker)
 
     def _send_stop(self, hold_id, worker):
@@ -305,12 +313,12 @@
     # Acting on decisions
 
     def _tick(self):
-        for home in list(self._homes.values()):
-            self._act(home, home.book.tick(self.now))
+        for coordinator in list(self._coordinators.values()):
+            self._act(coordinator, coordinator.book.tick(self.now))
 
-    def _act(self, home, messages):
+    def _act(self, coordinator, messages):
         """Carry out decisions in the order in which they were made, see ``OwnerPart._act``."""
-        self._actions.extend((home, message) for message in messages)
+        self._actions.extend((coordinator, message) for message in messages)
         if self._acting:
             return
         self._acting = True
@@ -320,35 +328,38 @@
         finally:
             self._acting = False
 
-    def _carry_out(self, home, message):
+    def _carry_out(self, coordinator, message):
         match message:
             case AskHold():
-                self._ask_hold(home, message)
+                self._ask_hold(coordinator, message)
             case ReleaseHold(hold_id=hold_id):
-                owner = home.owners.pop(hold_id, None)
+                owner = coordinator.owners.pop(hold_id, None)
                 if owner is not None:
                     self.context.send(owner, HoldRelease(hold_id=hold_id))
             case RecordIntent():
-                self._record_intent(home, message)
+                self._record_intent(coordinator, message)
             case StartTask():
-                self._start_task(home, message)
+                self._start_task(coordinator, message)
             case StopTask(hold_id=hold_id, worker=worker):
-                home.stopping[hold_id] = worker
+                coordinator.stopping[hold_id] = worker
                 self._send_stop(hold_id, worker)
             case RecordEnd():
-                self._record_end(home, message)
+                self._record_end(coordinator, message)
             case AckTask(hold_id=hold_id):
-                self._acknowledge(home, hold_id)
+                self._acknowledge(coordinator, hold_id)
             case EndJob():
-                self._write_phase(home, message)
+                self._write_phase(coordinator, message)
 
-    def _ask_hold(self, home, message):
+    def _ask_hold(self, coordinator, message):
         hold = message.hold
-        owner = home.owners.get(hold.hold_id) if message.again else self._choose_owner(hold)
+        owner = coordinator.owners.get(hold.hold_id) if message.again else self._choose_owner(hold)
         if owner is None:
-            self._act(home, home.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now))
+            self._act(
+                coordinator,
+                coordinator.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
+            )
             return
-        home.owners[hold.hold_id] = owner
+        coordinator.owners[hold.hold_id] = owner
         ask = HoldAsk(
             hold_id=hold.hold_id,
             customer=hold.customer,
@@ -357,8 +368,11 @@
             gang=hold.gang,
         )
         if not self.context.send(owner, ask):
-            home.owners.pop(hold.hold_id, None)
-            self._act(home, home.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now))
+            coordinator.owners.pop(hold.hold_id, None)
+            self._act(
+                coordinator,
+                coordinator.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
+            )
 
     def _choose_owner(self, hold):
         """Choose between two owners by their last digests (Mitzenmacher's power of two choices)."""
@@ -377,7 +391,7 @@
         digests[best].free_task_slots -= hold.needs.slots
         return best
 
-    def _record_intent(self, home, message):
+    def _record_intent(self, coordinator, message):
         customer = message.customer
         hold_ids = []
         writes = []
@@ -387,35 +401,35 @@
             writes.append(Write(key=f"task/{customer}/{message.job}/{task.index}", value=value))
 
         def done(error):
-            if self._check_written(customer, home, error):
-                self._act(home, home.book.intent_recorded(message.job, hold_ids))
+            if self._check_written(customer, coordinator, error):
+                self._act(coordinator, coordinator.book.intent_recorded(message.job, hold_ids))
 
-        self._commit(home, customer, writes, done)
+        self._commit(coordinator, customer, writes, done)
 
-    def _record_end(self, home, message):
+    def _record_end(self, coordinator, message):
         """Write a task's end; a large result goes to the object store first.
 
         The row is written only when the object is there. Until then the worker keeps the result,
         and the object is put again, under the same key, until the store takes it.
         """
         if len(message.result) <= INLINE_RESULT_BYTES:
-            self._write_end(home, message, {"result": message.result})
+            self._write_end(coordinator, message, {"result": message.result})
             return
         key = f"result/{message.hold_id}"
         done = self.context.objects.put(key, message.result.encode())
         done.addCallbacks(
-            lambda _: self._write_end(home, message, {"object": key}),
-            lambda failure: self._put_failed(failure, home, message),
+            lambda _: self._write_end(coordinator, message, {"object": key}),
+            lambda failure: self._put_failed(failure, coordinator, message),
         )
         done.addErrback(self.fail_with)
 
-    def _put_failed(self, failure, home, message):
+    def _put_failed(self, failure, coordinator, message):
         failure.trap(PlatformError)
-        if self._homes.get(message.customer) is home:
+        if self._coordinators.get(message.customer) is coordinator:
             delay = jitter(self.context.random_state, _AGAIN_S)
-            self.later(delay, self._record_end, home, message)
+            self.later(delay, self._record_end, coordinator, message)
 
-    def _write_end(self, home, message, result):
+    def _write_end(self, coordinator, message, result):
         value = {
             "attempt": message.attempt,
             "state": "done" if message.ok else "failed",
@@ -425,35 +439,35 @@
         key = f"task/{message.customer}/{message.job}/{message.index}"
 
         def done(error):
-            if self._check_written(message.customer, home, error):
-                self._acknowledge(home, message.hold_id)
-                self._act(home, home.book.end_recorded(message.hold_id, message.ok))
+            if self._check_written(message.customer, coordinator, error):
+                self._acknowledge(coordinator, message.hold_id)
+                self._act(coordinator, coordinator.book.end_recorded(message.hold_id, message.ok))
 
-        self._commit(home, message.customer, [Write(key=key, value=value)], done)
+        self._commit(coordinator, message.customer, [Write(key=key, value=value)], done)
 
-    def _commit(self, home, customer, writes, done):
-        condition = Condition(key=home_key(customer), version=home.epoch)
+    def _commit(self, coordinator, customer, writes, done):
+        condition = Condition(key=coordinator_key(customer), version=coordinator.epoch)
         self.post(CommitAsk(conditions=[condition], writes=writes, done=done))
 
-    def _check_written(self, customer, home, error):
+    def _check_written(self, customer, coordinator, error):
         """Give the customer up when another home has taken it over."""
-        if self._homes.get(customer) is not home:
+        if self._coordinators.get(customer) is not coordinator:
             return False
         if error is None:
             return True
         if not isinstance(error, PreconditionError):
             return False
         self.log.warning("Jobs of {} were taken over by another instance.", customer)
-        del self._homes[customer]
+        del self._coordinators[customer]
         self.later(jitter(self.context.random_state, _AGAIN_S), self._load_again, customer)
         return False
 
-    def _start_task(self, home, message):
+    def _start_task(self, coordinator, message):
         customer, job, _, _ = message.hold_id.split("/")
         submitted = self._submitted.get((customer, job), self.now)
-        kind = "gang" if home.book.is_gang(job) else "batch"
+        kind = "gang" if coordinator.book.is_gang(job) else "batch"
         self.context.metrics.waited(customer, kind, self.now - submitted)
-        owner = home.owners.get(message.hold_id)
+        owner = coordinator.owners.get(message.hold_id)
         start = TaskStart(
             hold_id=message.hold_id, workload=message.workload, payload=message.payload
         )
@@ -461,12 +475,12 @@
             # Where the message is lost the owner's answer to the next query says so.
             self.context.send(owner, start)
 
-    def _acknowledge(self, home, hold_id):
-        owner = home.owners.pop(hold_id, None)
+    def _acknowledge(self, coordinator, hold_id):
+        owner = coordinator.owners.pop(hold_id, None)
         if owner is not None:
             self.context.send(owner, TaskAcknowledge(hold_id=hold_id))
 
-    def _write_phase(self, home, message):
+    def _write_phase(self, coordinator, message):
         key = f"Job/{message.customer}/{message.job}"
 
         def changed(job):
@@ -482,23 +496,23 @@
 
         done = self.context.resources.write(key, None, check=changed)
         done.addCallbacks(
-            lambda _: self._phase_written(home, message),
-            lambda failure: self._phase_failed(failure, home, message),
+            lambda _: self._phase_written(coordinator, message),
+            lambda failure: self._phase_failed(failure, coordinator, message),
         )
         done.addErrback(self.fail_with)
 
-    def _phase_written(self, home, message):
-        home.book.phase_recorded(message.job, message.phase)
+    def _phase_written(self, coordinator, message):
+        coordinator.book.phase_recorded(message.job, message.phase)
         self.context.changes.trigger()
 
-    def _phase_failed(self, failure, home, message):
-        if self._homes.get(message.customer) is not home:
+    def _phase_failed(self, failure, coordinator, message):
+        if self._coordinators.get(message.customer) is not coordinator:
             return
         if not failure.check(PlatformError):
-            home.book.phase_recorded(message.job, JobPhase.CANCELLED)
+            coordinator.book.phase_recorded(message.job, JobPhase.CANCELLED)
             return
         delay = jitter(self.context.random_state, _AGAIN_S)
-        self.later(delay, self._write_phase, home, message)
+        self.later(delay, self._write_phase, coordinator, message)
 
     # Status
 
@@ -506,8 +520,8 @@
         if body.topic != "job":
             return
         customer, job = body.key.split("/", 1)
-        home = self._homes.get(customer)
-        status = home.book.status(job) if home else None
+        coordinator = self._coordinators.get(customer)
+        status = coordinator.book.status(job) if coordinator else None
         self.context.send(source, StatusAnswer(call=body.call, body=encode(status)))
 
 
--- a/anvilflow/parts/_daemon.py
+++ b/anvilflow/parts/_daemon.py
@@ -14,9 +14,9 @@
 from ..runtime import Bus, ReactorNetwork, Supervisor
 from ._config import ConfigPart
 from ._context import Context
+from ._coordinator import CoordinatorPart
 from ._events import LeavingChanged
 from ._gateway import GatewayPart
-from ._home import HomePart
 from ._members import MembersPart
 from ._operators import OperatorsPart
 from ._owner import OwnerPart
@@ -56,7 +56,7 @@
         self.supervisor.add("peers", lambda: PeersPart(context=context))
         self.supervisor.add("config", lambda: ConfigPart(context=context))
         self.supervisor.add("owner", lambda: OwnerPart(context=context))
-        self.supervisor.add("home", lambda: HomePart(context=context))
+        self.supervisor.add("home", lambda: CoordinatorPart(context=context))
         self.supervisor.add("members", lambda: MembersPart(context=context))
         self.supervisor.add("entry", lambda: GatewayPart(context=context))
         self.supervisor.add("operators", lambda: OperatorsPart(context=context, dump_all=self.dump))
--- a/anvilflow/parts/_gateway.py
+++ b/anvilflow/parts/_gateway.py
@@ -25,8 +25,8 @@
 from ..runtime import Part
 from ..utils import decode, decode_lenient, to_builtins
 from ._calls import JobCall, RequestAnswer, RequestCall, not_run_answer, unknown_answer
+from ._coordinator import coordinator_key
 from ._events import PeerDown
-from ._home import home_key
 from ._http_api import (
     LimitedSite,
     answer_json,
@@ -385,13 +385,13 @@
 
     @inlineCallbacks
     def _ask_status(self, customer, name):
-        home = choose_owner(self.context.live, home_key(customer))
+        coordinator = choose_owner(self.context.live, coordinator_key(customer))
         self._n_calls += 1
         call = self._n_calls
         answer = Deferred()
         self._status_calls[call] = answer
-        if home is None or not self.context.send(
-            home, StatusAsk(call=call, topic="job", key=f"{customer}/{name}")
+        if coordinator is None or not self.context.send(
+            coordinator, StatusAsk(call=call, topic="job", key=f"{customer}/{name}")
         ):
             self._status_calls.pop(call)
             return None
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -117,7 +117,7 @@
         self._claiming = set()
         self._origins = {}
         self._arrived = {}
-        self._hold_homes = {}
+        self._hold_coordinators = {}
         self._stopped = False
         self._actions = deque()
         self._acting = False
@@ -342,7 +342,7 @@
             owned.missing.discard(hold_id)
             owned.ended[hold_id] = task
             self._act(self._book.task_ended(hold_id, now))
-            self._tell_home(hold_id, "ended", ok=task.ok, result=task.result)
+            self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
         for hold_id in settled - running - set(ended):
             if hold_id in bars:
                 # The worker has confirmed that it does not run and that it never will.
@@ -352,7 +352,7 @@
         for hold_id in bars - settled:
             if hold_id not in running:
                 owned.bars.discard(hold_id)
-                self._tell_home(hold_id, "lost")
+                self._notify_coordinator(hold_id, "lost")
         for request_id in gone_candidates - set(report.requests):
             owned.foreign.discard(request_id)
             owned.overdue.pop(request_id, None)
@@ -361,7 +361,7 @@
     def _lost(self, owned, hold_id):
         owned.bars.discard(hold_id)
         self._act(self._book.task_ended(hold_id, self.now))
-        self._tell_home(hold_id, "lost")
+        self._notify_coordinator(hold_id, "lost")
 
     # Requests
 
@@ -495,11 +495,11 @@
             gang=body.gang,
             weight=customer.priority,
         )
-        self._hold_homes[body.hold_id] = source
+        self._hold_coordinators[body.hold_id] = source
         self._act(self._book.ask_hold(hold, self.now))
 
     def _hold_release(self, _, body):
-        self._hold_homes.pop(body.hold_id, None)
+        self._hold_coordinators.pop(body.hold_id, None)
         self._act(self._book.release_hold(body.hold_id, self.now))
 
     def _task_start(self, source, body):
@@ -507,7 +507,7 @@
         if worker is None:
             self.context.send(source, _task_answer(body.hold_id, "lost"))
             return
-        self._hold_homes[body.hold_id] = source
+        self._hold_coordinators[body.hold_id] = source
         self.context.metrics.placements.labels("task").inc()
         self._start_on(self._owned[worker], body).addErrback(self.fail_with)
 
@@ -528,7 +528,7 @@
             )
         except WorkerRefusedError:
             self._act(self._book.task_ended(hold_id, self.now))
-            self._tell_home(hold_id, "lost")
+            self._notify_coordinator(hold_id, "lost")
         except WorkerUnreachableError as exc:
             # It may have started. The next reports tell; until then its place stays taken.
             self.log.info("Start of {} unanswered: {}.", hold_id, exc)
@@ -539,7 +539,7 @@
         owned = self._owned.get(body.worker)
         if owned is None:
             return
-        self._hold_homes[body.hold_id] = source
+        self._hold_coordinators[body.hold_id] = source
         self._act(self._book.release_hold(body.hold_id, self.now))
         if body.hold_id in owned.ended:
             return
@@ -557,32 +557,32 @@
         if owned is None:
             return
         for hold_id in body.hold_ids:
-            self._hold_homes[hold_id] = source
+            self._hold_coordinators[hold_id] = source
             if hold_id in owned.ended:
                 task = owned.ended[hold_id]
-                self._tell_home(hold_id, "ended", ok=task.ok, result=task.result)
+                self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
             elif self._book.worker_of(hold_id) is None:
                 self._act(self._book.release_hold(hold_id, self.now))
                 owned.bars.add(hold_id)
                 owned.ticker.trigger()
 
     def _task_acknowledge(self, _, body):
-        self._hold_homes.pop(body.hold_id, None)
+        self._hold_coordinators.pop(body.hold_id, None)
         for owned in self._owned.values():
             if owned.ended.pop(body.hold_id, None) is not None:
                 owned.forget.add(body.hold_id)
 
-    def _tell_home(self, hold_id, verdict, *, ok=False, result=""):
-        home = self._hold_homes.get(hold_id)
+    def _notify_coordinator(self, hold_id, verdict, *, ok=False, result=""):
+        coordinator = self._hold_coordinators.get(hold_id)
         customer = hold_id.split("/", 1)[0]
-        home = choose_owner(self.context.live, f"home/{customer}") or home
-        if home is not None:
-            self.context.send(home, _task_answer(hold_id, verdict, ok=ok, result=result))
+        coordinator = choose_owner(self.context.live, f"home/{customer}") or coordinator
+        if coordinator is not None:
+            self.context.send(coordinator, _task_answer(hold_id, verdict, ok=ok, result=result))
 
-    def _answer_hold(self, home, hold_id, verdict, *, worker="", reason=""):
-        if home is not None:
+    def _answer_hold(self, coordinator, hold_id, verdict, *, worker="", reason=""):
+        if coordinator is not None:
             self.context.send(
-                home,
+                coordinator,
                 HoldAnswer(hold_id=hold_id, verdict=verdict, worker=worker, reason=str(reason)),
             )
 
@@ -618,14 +618,14 @@
                     retry_after=message.retry_after,
                 )
             case HoldGranted(hold=hold, worker=worker):
-                home = self._hold_homes.get(hold.hold_id)
-                self._answer_hold(home, hold.hold_id, "granted", worker=worker)
+                coordinator = self._hold_coordinators.get(hold.hold_id)
+                self._answer_hold(coordinator, hold.hold_id, "granted", worker=worker)
             case HoldRefused(hold=hold, reason=reason):
-                home = self._hold_homes.pop(hold.hold_id, None)
-                self._answer_hold(home, hold.hold_id, "refused", reason=reason)
+                coordinator = self._hold_coordinators.pop(hold.hold_id, None)
+                self._answer_hold(coordinator, hold.hold_id, "refused", reason=reason)
             case HoldRevoked(hold=hold):
-                home = self._hold_homes.pop(hold.hold_id, None)
-                self._answer_hold(home, hold.hold_id, "refused", reason=RefuseReason.EXPIRED)
+                coordinator = self._hold_coordinators.pop(hold.hold_id, None)
+                self._answer_hold(coordinator, hold.hold_id, "refused", reason=RefuseReason.EXPIRED)
 
     def _sweep_period(self):
         book = self._book
--- a/anvilflow/parts/tests/test_failures.py
+++ b/anvilflow/parts/tests/test_failures.py
@@ -53,13 +53,13 @@
     cell.submit("a1", job)
     for _ in range(2):
         cell.advance(1.2)
-        homes = [
+        coordinators = [
             name
             for name, daemon in cell.daemons.items()
             if daemon.supervisor.part("home").dump().get("large")
         ]
-        assert len(homes) == 1
-        cell.crash_instance(homes[0])
+        assert len(coordinators) == 1
+        cell.crash_instance(coordinators[0])
     cell.advance(20.0)
     assert phase_of(cell, job) == ("completed", 60, 0)
     ends = [e.item for e in cell.history.events if isinstance(e, RunEnded) and e.how == "ok"]
@@ -98,14 +98,14 @@
     job = make_job("j1", "refresh", 80, seconds=0.7)
     cell.submit("a1", job)
     cell.advance(0.31)
-    [home] = [
+    [coordinator] = [
         name
         for name, daemon in cell.daemons.items()
         if daemon.supervisor.part("home").dump().get("large")
     ]
-    cell.pause_instance(home)
+    cell.pause_instance(coordinator)
     cell.advance(10.0)
-    cell.resume_instance(home)
+    cell.resume_instance(coordinator)
     cell.advance(20.0)
     assert cell.errors == []
     assert phase_of(cell, job) == ("completed", 80, 0)
@@ -283,16 +283,16 @@
     cell.submit("a1", job)
     cell.submit("a1", make_job("j0", "refresh", 1, seconds=20.0))
     cell.advance(2.0)
-    [home] = [
+    [coordinator] = [
         name
         for name, daemon in cell.daemons.items()
         if daemon.supervisor.part("home").dump().get("large")
     ]
     for name, daemon in cell.daemons.items():
-        if name != home:
+        if name != coordinator:
             late = daemon.context.catalog
             late._items.pop("Job/large/j1")
-    cell.crash_instance(home)
+    cell.crash_instance(coordinator)
     cell.advance(2.0)
     for daemon in cell.daemons.values():
         daemon.supervisor.part("config")._listed = False
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -6,7 +6,7 @@
 from anvilflow.decisions import LeaseClock, OwnerBook, Rooms
 from anvilflow.exceptions import PreconditionError
 from anvilflow.history import check_history
-from anvilflow.parts import HomePart, StorePart
+from anvilflow.parts import CoordinatorPart, StorePart
 from anvilflow.parts._events import CommitAsk
 from anvilflow.standins import WorkerState
 
@@ -59,25 +59,25 @@
     """
     if not safeguard:
 
-        def commit(self, home, customer, writes, done):
+        def commit(self, coordinator, customer, writes, done):
             self.post(CommitAsk(conditions=[], writes=writes, done=done))
 
-        monkeypatch.setattr(HomePart, "_commit", commit)
+        monkeypatch.setattr(CoordinatorPart, "_commit", commit)
     cell = make_cell(n_instances=5, n_workers=12)
     cell.submit("a1", make_job("j1", "refresh", 24, seconds=9.0))
-    first = wait_for_home(cell)
+    first = wait_for_coordinator(cell)
     cell.table_faults.slow_s = 3.5
     cell.advance(0.1)
     cell.pause_instance(first)
     cell.table_faults.slow_s = 0.0
     cell.advance(3.6)
     cell.daemons.pop(first)
-    cell.crash_instance(wait_for_home(cell))
+    cell.crash_instance(wait_for_coordinator(cell))
     cell.advance(30.0)
     assert broken_promises(cell) == expected(safeguard, "no task in two places")
 
 
-def wait_for_home(cell):
+def wait_for_coordinator(cell):
     """Let time pass until an instance is home of the large customer; return its name."""
     while True:
         for name, daemon in cell.daemons.items():
