--- a/anvilflow/decisions/__init__.py
+++ b/anvilflow/decisions/__init__.py
@@ -1,5 +1,6 @@
 """Pure decisions: inputs and time in, messages out; no I/O and no clock."""
 
+from ._allocations import AllocationIndex, WorkerAllocation
 from ._fair_queue import FairQueue, QueuedItem
 from ._job_coordinator import (
     AckTask,
@@ -30,12 +31,12 @@
 from ._owner import OwnerBook
 from ._ownership import choose_owner, rendezvous_order, score
 from ._retries import RetryBudget
-from ._rooms import Room, Rooms
 from ._round_trip import RoundTrip, RoundTripSettings
 from ._send_window import SendWindow
 
 __all__ = [
     "AckTask",
+    "AllocationIndex",
     "AskHold",
     "Dispatch",
     "EndJob",
@@ -58,14 +59,13 @@
     "ReleaseHold",
     "Request",
     "RetryBudget",
-    "Room",
-    "Rooms",
     "RoundTrip",
     "RoundTripSettings",
     "SendWindow",
     "StartTask",
     "StopTask",
     "TaskState",
+    "WorkerAllocation",
     "can_retry",
     "choose_owner",
     "lease_over_at",
--- a/anvilflow/decisions/_rooms.py
+++ b/anvilflow/decisions/_allocations.py
@@ -18,7 +18,7 @@
 _MAX_CHECKS = 64
 
 
-class Room:
+class WorkerAllocation:
     """What one worker has, what is taken and by whom.
 
     Parameters
@@ -164,7 +164,7 @@
     return a >= p and b >= q and c >= r and d >= s
 
 
-class Rooms:
+class AllocationIndex:
     """The workers of one owner.
 
     Parameters
@@ -180,19 +180,19 @@
     """
 
     __slots__ = (
+        "_allocations",
         "_by_bit",
         "_fitting",
         "_index",
         "_live",
         "_plain",
-        "_rooms",
         "_task_index",
         "reserve",
     )
 
     def __init__(self, *, reserve=0.25):
         self.reserve = reserve
-        self._rooms = {}
+        self._allocations = {}
         self._by_bit = {}
         self._fitting = {}
         self._live = 0
@@ -201,77 +201,77 @@
         self._task_index = _LevelIndex()
 
     def __contains__(self, worker):
-        return worker in self._rooms
+        return worker in self._allocations
 
     def __len__(self):
-        return len(self._rooms)
+        return len(self._allocations)
 
     def __iter__(self):
-        return iter(self._rooms.values())
+        return iter(self._allocations.values())
 
     def get(self, worker):
         """Return the worker's room or None."""
-        return self._rooms.get(worker)
+        return self._allocations.get(worker)
 
-    def add(self, room):
+    def add(self, allocation):
         """Start to place work on a worker."""
         position = 0
         while 1 << position in self._by_bit:
             position += 1
-        room.position = position
-        room.bit = 1 << position
-        self._rooms[room.worker] = room
-        self._by_bit[room.bit] = room
-        self._live |= room.bit
-        if not room.capacity.accelerators:
-            self._plain |= room.bit
+        allocation.position = position
+        allocation.bit = 1 << position
+        self._allocations[allocation.worker] = allocation
+        self._by_bit[allocation.bit] = allocation
+        self._live |= allocation.bit
+        if not allocation.capacity.accelerators:
+            self._plain |= allocation.bit
         nothing = [0] * len(RESOURCE_NAMES)
-        self._index.move(room.bit, nothing, room.free)
-        room.task_bounds = self._bounds(room, True)
-        room.task_free = self._task_room(room)
-        self._task_index.move(room.bit, nothing, room.task_free)
+        self._index.move(allocation.bit, nothing, allocation.free)
+        allocation.task_bounds = self._bounds(allocation, True)
+        allocation.task_free = self._task_room(allocation)
+        self._task_index.move(allocation.bit, nothing, allocation.task_free)
         self._fitting.clear()
 
     def remove(self, worker):
         """Forget a worker; return its room or None."""
-        room = self._rooms.pop(worker, None)
-        if room is None:
+        allocation = self._allocations.pop(worker, None)
+        if allocation is None:
             return None
         nothing = [0] * len(RESOURCE_NAMES)
-        self._index.move(room.bit, room.free, nothing)
-        self._task_index.move(room.bit, room.task_free, nothing)
-        del self._by_bit[room.bit]
-        self._live &= ~room.bit
-        self._plain &= ~room.bit
+        self._index.move(allocation.bit, allocation.free, nothing)
+        self._task_index.move(allocation.bit, allocation.task_free, nothing)
+        del self._by_bit[allocation.bit]
+        self._live &= ~allocation.bit
+        self._plain &= ~allocation.bit
         self._fitting.clear()
-        return room
+        return allocation
 
     def close(self, worker):
         """Find no place on a worker any more; what it runs stays accounted."""
-        room = self._rooms.get(worker)
-        if room is not None:
-            self._live &= ~room.bit
+        allocation = self._allocations.get(worker)
+        if allocation is not None:
+            self._live &= ~allocation.bit
             self._fitting.clear()
 
     def reopen(self, worker):
         """Find places on a worker again."""
-        room = self._rooms.get(worker)
-        if room is not None:
-            self._live |= room.bit
+        allocation = self._allocations.get(worker)
+        if allocation is not None:
+            self._live |= allocation.bit
             self._fitting.clear()
 
     def is_closed(self, worker):
         """Whether no place is found on the worker."""
-        room = self._rooms.get(worker)
-        return room is None or not room.bit & self._live
+        allocation = self._allocations.get(worker)
+        return allocation is None or not allocation.bit & self._live
 
     def set_reserve(self, reserve):
         """Change the share that tasks leave free; what already runs stays."""
         self.reserve = reserve
         self._fitting.clear()
-        for room in self._rooms.values():
-            room.task_bounds = self._bounds(room, True)
-            self._reindex(room, room.free)
+        for allocation in self._allocations.values():
+            allocation.task_bounds = self._bounds(allocation, True)
+            self._reindex(allocation, allocation.free)
 
     def best_fit(self, needs, *, task):
         """Return the fullest worker that holds `needs`, or None.
@@ -297,27 +297,27 @@
         Work that a new owner finds running is accounted even when it leaves the worker over its
         task share: it is there, and leaving it out would let more be placed on top.
         """
-        room = self._rooms[worker]
-        if item_id in room.taken:
+        allocation = self._allocations[worker]
+        if item_id in allocation.taken:
             return
         need = as_list(needs)
-        room.taken[item_id] = (need, task)
+        allocation.taken[item_id] = (need, task)
         if task:
-            room.task_used = _plus(room.task_used, need)
-        self._reindex(room, _minus(room.free, need))
+            allocation.task_used = _plus(allocation.task_used, need)
+        self._reindex(allocation, _minus(allocation.free, need))
 
     def release(self, worker, item_id):
         """Give back what the item took; return whether it had anything."""
-        room = self._rooms.get(worker)
-        if room is None:
+        allocation = self._allocations.get(worker)
+        if allocation is None:
             return False
-        taken = room.taken.pop(item_id, None)
+        taken = allocation.taken.pop(item_id, None)
         if taken is None:
             return False
         need, task = taken
         if task:
-            room.task_used = _minus(room.task_used, need)
-        self._reindex(room, _plus(room.free, need))
+            allocation.task_used = _minus(allocation.task_used, need)
+        self._reindex(allocation, _plus(allocation.free, need))
         return True
 
     def ever_fits(self, needs, *, task):
@@ -328,27 +328,33 @@
         known = self._fitting.get((needs, task))
         if known is None:
             need = as_list(needs)
-            known = any(_holds(self._bounds(room, task), need) for room in self.open_rooms())
+            known = any(
+                _holds(self._bounds(allocation, task), need)
+                for allocation in self.open_allocations()
+            )
             self._fitting[needs, task] = known
         return known
 
-    def open_rooms(self):
+    def open_allocations(self):
         """Return the rooms on which places are found."""
-        return [room for room in self._rooms.values() if room.bit & self._live]
+        return [
+            allocation for allocation in self._allocations.values() if allocation.bit & self._live
+        ]
 
     def total(self, name):
         """Return the capacity of resource `name` over all workers."""
-        return sum(getattr(room.capacity, name) for room in self._rooms.values())
+        return sum(getattr(allocation.capacity, name) for allocation in self._allocations.values())
 
     def total_free(self, name, *, task):
         """Return the free amount of resource `name` over the workers that are open."""
         number = RESOURCE_NAMES.index(name)
         return sum(
-            max(0, (room.task_free if task else room.free)[number]) for room in self.open_rooms()
+            max(0, (allocation.task_free if task else allocation.free)[number])
+            for allocation in self.open_allocations()
         )
 
-    def _bounds(self, room, task):
-        whole = as_list(room.capacity)
+    def _bounds(self, allocation, task):
+        whole = as_list(allocation.capacity)
         if not task:
             return whole
         return [
@@ -356,9 +362,9 @@
             for number, amount in enumerate(whole)
         ]
 
-    def _task_room(self, room):
-        a, b, c, d = _minus(room.task_bounds, room.task_used)
-        p, q, r, s = room.free
+    def _task_room(self, allocation):
+        a, b, c, d = _minus(allocation.task_bounds, allocation.task_used)
+        p, q, r, s = allocation.free
         return [
             a if a < p else p,
             b if b < q else q,
@@ -366,20 +372,20 @@
             d if d < s else s,
         ]
 
-    def _reindex(self, room, free):
-        self._index.move(room.bit, room.free, free)
-        room.free = free
-        task_free = self._task_room(room)
-        self._task_index.move(room.bit, room.task_free, task_free)
-        room.task_free = task_free
+    def _reindex(self, allocation, free):
+        self._index.move(allocation.bit, allocation.free, free)
+        allocation.free = free
+        task_free = self._task_room(allocation)
+        self._task_index.move(allocation.bit, allocation.task_free, task_free)
+        allocation.task_free = task_free
 
     def _search(self, index, candidates, need, task):
         start = need[_CPU] // _STEP_SIZES[_CPU]
         for checks, bit in enumerate(index.fullest(candidates, start)):
             if checks >= _MAX_CHECKS:
                 return None
-            room = self._by_bit[bit]
-            have = room.task_free if task else room.free
+            allocation = self._by_bit[bit]
+            have = allocation.task_free if task else allocation.free
             if _holds(have, need):
-                return room.worker
+                return allocation.worker
         return None
--- a/anvilflow/decisions/_owner.py
+++ b/anvilflow/decisions/_owner.py
@@ -4,6 +4,7 @@
 
 from msgspec import Struct
 
+from ._allocations import AllocationIndex
 from ._fair_queue import FairQueue, QueuedItem
 from ._messages import (
     Dispatch,
@@ -14,7 +15,6 @@
     Refuse,
     RefuseReason,
 )
-from ._rooms import Rooms
 
 #: Weight of the newest run time in the learned one.
 _LEARNING_RATE = 0.2
@@ -67,14 +67,14 @@
         "_started",
         "_task_slots",
         "_total_slots",
+        "allocations",
         "hold_s",
-        "rooms",
         "run_time_",
     )
 
     def __init__(self, *, reserve=0.25, hold_s=3.0):
         self.hold_s = hold_s
-        self.rooms = Rooms(reserve=reserve)
+        self.allocations = AllocationIndex(reserve=reserve)
         self.run_time_ = {}
         self._queue = FairQueue()
         self._hold_queue = FairQueue()
@@ -116,43 +116,43 @@
     @property
     def free_service_slots(self):
         """Slots that a request could take now."""
-        return max(0, self.rooms.total_free("slots", task=False))
+        return max(0, self.allocations.total_free("slots", task=False))
 
     @property
     def free_task_slots(self):
         """Slots that a task could take now."""
-        return max(0, self.rooms.total_free("slots", task=True))
+        return max(0, self.allocations.total_free("slots", task=True))
 
     # Workers
 
-    def add_worker(self, room, now, *, tasks=(), requests=(), leaving=False):
+    def add_worker(self, allocation, now, *, tasks=(), requests=(), leaving=False):
         """Place work on a worker from now on.
 
         Parameters
         ----------
-        room : Room
+        allocation : WorkerAllocation
         now : float
         tasks, requests : iterable of (str, Amounts)
             What already runs there, as the worker itself says.
         leaving : bool, default=False
             Account what runs there, and place nothing.
         """
-        self.rooms.add(room)
+        self.allocations.add(allocation)
         if leaving:
-            self.rooms.close(room.worker)
-        self._total_slots += room.capacity.slots
+            self.allocations.close(allocation.worker)
+        self._total_slots += allocation.capacity.slots
         for hold_id, needs in tasks:
-            self._account_task(hold_id, needs, room.worker)
+            self._account_task(hold_id, needs, allocation.worker)
         for request_id, needs in requests:
-            self.rooms.take(room.worker, request_id, needs, task=False)
+            self.allocations.take(allocation.worker, request_id, needs, task=False)
         return self._freed(now)
 
     def remove_worker(self, worker):
         """Forget a worker; return the messages for the holds that it loses with it."""
-        room = self.rooms.remove(worker)
-        if room is None:
+        allocation = self.allocations.remove(worker)
+        if allocation is None:
             return []
-        self._total_slots -= room.capacity.slots
+        self._total_slots -= allocation.capacity.slots
         lost = [held for held in self._held.values() if held.worker == worker]
         for held in lost:
             self._drop_held(held.hold.hold_id)
@@ -162,33 +162,33 @@
 
     def release_foreign(self, worker, item_id, now):
         """Free what a former owner's request took on a worker."""
-        if not self.rooms.release(worker, item_id):
+        if not self.allocations.release(worker, item_id):
             return []
         return self._freed(now)
 
     def close_worker(self, worker):
         """Place nothing new on a worker; what runs there goes on, what is only held is revoked."""
-        if self.rooms.is_closed(worker):
+        if self.allocations.is_closed(worker):
             return []
-        self.rooms.close(worker)
+        self.allocations.close(worker)
         lost = [held for held in self._held.values() if held.worker == worker]
         for held in lost:
             self._drop_held(held.hold.hold_id)
         out = [HoldRevoked(hold=held.hold, worker=worker) for held in lost]
-        return out if self.rooms.open_rooms() else out + self._refuse_all()
+        return out if self.allocations.open_allocations() else out + self._refuse_all()
 
     def reopen_worker(self, worker, now):
         """Place work on a closed worker again."""
-        if not self.rooms.is_closed(worker):
+        if not self.allocations.is_closed(worker):
             return []
-        self.rooms.reopen(worker)
+        self.allocations.reopen(worker)
         return self._freed(now)
 
     def set_reserve(self, reserve, now):
         """Change the share that tasks leave free."""
-        if reserve == self.rooms.reserve:
+        if reserve == self.allocations.reserve:
             return []
-        self.rooms.set_reserve(reserve)
+        self.allocations.set_reserve(reserve)
         return self._freed(now)
 
     # Requests
@@ -226,7 +226,7 @@
             return []
         request, worker = running
         self._free_share(request)
-        self.rooms.release(worker, request_id)
+        self.allocations.release(worker, request_id)
         if run_time is not None:
             self._learn(request, run_time)
         return self._freed(now)
@@ -248,8 +248,8 @@
             return [HoldGranted(hold=hold, worker=held.worker)]
         if hold.hold_id in self._started:
             return [HoldGranted(hold=hold, worker=self._started[hold.hold_id][0])]
-        if not self.rooms.ever_fits(hold.needs, task=True):
-            reason = RefuseReason.FITS_NOWHERE if len(self.rooms) else RefuseReason.NO_WORKER
+        if not self.allocations.ever_fits(hold.needs, task=True):
+            reason = RefuseReason.FITS_NOWHERE if len(self.allocations) else RefuseReason.NO_WORKER
             return [HoldRefused(hold=hold, reason=reason)]
         self._hold_queue.remove(hold.hold_id)
         self._hold_queue.push(
@@ -295,7 +295,7 @@
         worker, needs = started
         self._on_worker[worker].discard(hold_id)
         self._task_slots -= needs.slots
-        self.rooms.release(worker, hold_id)
+        self.allocations.release(worker, hold_id)
         return self._freed(now)
 
     def worker_of(self, hold_id):
@@ -330,9 +330,9 @@
     # Internals
 
     def _refusal(self, request, now):
-        if not len(self.rooms):
+        if not len(self.allocations):
             return self._refuse(request, RefuseReason.NO_WORKER)
-        if not self.rooms.ever_fits(request.needs, task=False):
+        if not self.allocations.ever_fits(request.needs, task=False):
             return self._refuse(request, RefuseReason.FITS_NOWHERE)
         if self._queue.length_of(request.customer) >= request.queue_limit:
             return self._refuse(request, RefuseReason.QUEUE_FULL)
@@ -373,8 +373,8 @@
             del self._slots_of[request.customer]
 
     def _cost(self, needs):
-        room = next(iter(self.rooms), None)
-        return needs.dominant_share(room.capacity) if room else 1.0
+        allocation = next(iter(self.allocations), None)
+        return needs.dominant_share(allocation.capacity) if allocation else 1.0
 
     def _learn(self, request, run_time):
         known = self.run_time_.get(request.workload, request.run_time)
@@ -392,7 +392,7 @@
         worker = self._place_for(request)
         if worker is None:
             return None
-        self.rooms.take(worker, request.request_id, request.needs, task=False)
+        self.allocations.take(worker, request.request_id, request.needs, task=False)
         self._slots_of[request.customer] += request.needs.slots
         self._running[request.request_id] = (request, worker)
         return Dispatch(request=request, worker=worker)
@@ -402,7 +402,7 @@
             return None
         if self._slots_of.get(request.customer, 0) >= self._share_limit(request):
             return None
-        worker = self.rooms.best_fit(request.needs, task=False)
+        worker = self.allocations.best_fit(request.needs, task=False)
         if worker is None:
             self._misfits.add(request.needs)
         return worker
@@ -429,7 +429,7 @@
             needs = item.value.needs
             if needs in self._hold_misfits:
                 return False
-            found = self.rooms.best_fit(needs, task=True)
+            found = self.allocations.best_fit(needs, task=True)
             if found is None:
                 self._hold_misfits.add(needs)
             return found is not None
@@ -442,7 +442,7 @@
         return out
 
     def _grant(self, hold, worker, now):
-        self.rooms.take(worker, hold.hold_id, hold.needs, task=True)
+        self.allocations.take(worker, hold.hold_id, hold.needs, task=True)
         self._task_slots += hold.needs.slots
         self._held[hold.hold_id] = _Held(hold=hold, worker=worker, expires=now + self.hold_s)
         return HoldGranted(hold=hold, worker=worker)
@@ -456,7 +456,7 @@
         self._hold_queue.remove(hold_id)
         if hold_id in self._held:
             self._drop_held(hold_id)
-        self.rooms.take(worker, hold_id, needs, task=True)
+        self.allocations.take(worker, hold_id, needs, task=True)
         self._task_slots += needs.slots
         self._note_started(hold_id, worker, needs)
 
@@ -467,7 +467,7 @@
     def _drop_held(self, hold_id):
         held = self._held.pop(hold_id)
         self._task_slots -= held.hold.needs.slots
-        self.rooms.release(held.worker, hold_id)
+        self.allocations.release(held.worker, hold_id)
 
     def _revoke_for(self, hold, now):
         """Take places from younger gang jobs that only hold them.
@@ -486,7 +486,7 @@
             self._drop_held(held.hold.hold_id)
             out.append(HoldRevoked(hold=held.hold, worker=held.worker))
             self._hold_misfits.clear()
-            found = self.rooms.best_fit(hold.needs, task=True)
+            found = self.allocations.best_fit(hold.needs, task=True)
             if found is not None:
                 self._hold_queue.remove(hold.hold_id)
                 out.append(self._grant(hold, found, now))
--- a/anvilflow/decisions/tests/test_oracle.py
+++ b/anvilflow/decisions/tests/test_oracle.py
@@ -15,7 +15,7 @@
     OwnerBook,
     Refuse,
     Request,
-    Room,
+    WorkerAllocation,
 )
 from anvilflow.resources import RESOURCE_NAMES, Amounts
 
@@ -81,7 +81,9 @@
             self.n_made += 1
             name = f"w{self.n_made}"
             self.capacity[name] = capacity
-            self.take(self.book.add_worker(Room(worker=name, capacity=capacity), self.now))
+            self.take(
+                self.book.add_worker(WorkerAllocation(worker=name, capacity=capacity), self.now)
+            )
 
     @precondition(lambda self: len(self.capacity) > 1)
     @rule(data=st.data())
@@ -185,11 +187,11 @@
                 used[worker][number] += getattr(needs, name)
                 tasks[worker][number] += getattr(needs, name) if task else 0
         for worker, capacity in self.capacity.items():
-            room = self.book.rooms.get(worker)
+            allocation = self.book.allocations.get(worker)
             for number, name in enumerate(RESOURCE_NAMES):
                 have = getattr(capacity, name)
                 assert used[worker][number] <= have
-                assert room.free[number] == have - used[worker][number]
+                assert allocation.free[number] == have - used[worker][number]
                 if name != "accelerators":
                     assert tasks[worker][number] <= int(have * (1 - RESERVE))
 
@@ -201,13 +203,14 @@
     def index_agrees_with_a_scan(self):
         for needs in (Amounts(cpu_milli=300, memory_mb=256), Amounts(accelerators=1, slots=2)):
             for task in (False, True):
-                found = self.book.rooms.best_fit(needs, task=task)
+                found = self.book.allocations.best_fit(needs, task=task)
                 scan = any(
                     all(
-                        getattr(needs, name) <= (room.task_free if task else room.free)[number]
+                        getattr(needs, name)
+                        <= (allocation.task_free if task else allocation.free)[number]
                         for number, name in enumerate(RESOURCE_NAMES)
                     )
-                    for room in self.book.rooms
+                    for allocation in self.book.allocations
                 )
                 assert (found is not None) == scan
 
--- a/anvilflow/decisions/tests/test_oracle_catches.py
+++ b/anvilflow/decisions/tests/test_oracle_catches.py
@@ -4,7 +4,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from anvilflow.decisions import OwnerBook, Rooms
+from anvilflow.decisions import AllocationIndex, OwnerBook
 
 from .test_oracle import OwnerMachine
 
@@ -22,23 +22,25 @@
 
 def no_exact_check(monkeypatch):
     """The index alone decides, in steps of 250 thousandths and 256 MiB."""
-    monkeypatch.setattr("anvilflow.decisions._rooms._holds", lambda have, need: True)
+    monkeypatch.setattr("anvilflow.decisions._allocations._holds", lambda have, need: True)
 
 
 def no_reserve(monkeypatch):
     """Tasks take whole workers."""
-    monkeypatch.setattr(Rooms, "_bounds", lambda self, room, task: list(_capacity(room)))
+    monkeypatch.setattr(
+        AllocationIndex, "_bounds", lambda self, allocation, task: list(_capacity(allocation))
+    )
 
 
 def no_account(monkeypatch):
     """Requests are placed without being accounted."""
-    take = Rooms.take
+    take = AllocationIndex.take
 
     def forgetful(self, worker, item_id, needs, *, task):
         if task:
             take(self, worker, item_id, needs, task=task)
 
-    monkeypatch.setattr(Rooms, "take", forgetful)
+    monkeypatch.setattr(AllocationIndex, "take", forgetful)
 
 
 def hold_can_start_twice(monkeypatch):
@@ -66,8 +68,8 @@
     monkeypatch.setattr(OwnerBook, "tick", silent)
 
 
-def _capacity(room):
-    amounts = room.capacity
+def _capacity(allocation):
+    amounts = allocation.capacity
     return amounts.cpu_milli, amounts.memory_mb, amounts.accelerators, amounts.slots
 
 
--- a/anvilflow/decisions/tests/test_owner.py
+++ b/anvilflow/decisions/tests/test_owner.py
@@ -1,6 +1,6 @@
 """Cases of the owner's book that runs under faults have found."""
 
-from anvilflow.decisions import Hold, HoldGranted, OwnerBook, Room
+from anvilflow.decisions import Hold, HoldGranted, OwnerBook, WorkerAllocation
 from anvilflow.resources import Amounts
 
 NEEDS = Amounts(cpu_milli=1000, memory_mb=1024)
@@ -19,14 +19,14 @@
     free that place and the worker would be given more than it holds. (Chaos seed 863.)
     """
     book = OwnerBook(reserve=0.0)
-    book.add_worker(Room(worker="w1", capacity=CAPACITY), 0.0)
+    book.add_worker(WorkerAllocation(worker="w1", capacity=CAPACITY), 0.0)
     for number in range(4):
         book.ask_hold(make_hold(f"c/other/{number}/1"), 0.0)
     assert book.ask_hold(make_hold("c/j/0/1"), 0.0) == []
-    room = Room(worker="w2", capacity=CAPACITY)
+    allocation = WorkerAllocation(worker="w2", capacity=CAPACITY)
     running = [(f"c/j/{number}/1", NEEDS) for number in range(4)]
-    book.add_worker(room, 1.0, tasks=running)
+    book.add_worker(allocation, 1.0, tasks=running)
     book.release_hold("c/j/0/1", 1.1)
-    assert room.free[3] == 0
+    assert allocation.free[3] == 0
     granted = book.ask_hold(make_hold("c/more/0/1"), 1.2)
     assert not any(isinstance(message, HoldGranted) for message in granted)
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -16,7 +16,7 @@
     Refuse,
     RefuseReason,
     Request,
-    Room,
+    WorkerAllocation,
     choose_owner,
 )
 from ..exceptions import NotFoundError, WorkerRefusedError, WorkerUnreachableError
@@ -67,6 +67,7 @@
     """One worker under this owner, in one epoch."""
 
     __slots__ = (
+        "allocation",
         "bars",
         "client",
         "clock",
@@ -78,7 +79,6 @@
         "n_failed",
         "overdue",
         "renewed_at",
-        "room",
         "starting",
         "ticker",
     )
@@ -87,7 +87,7 @@
         self.member = member
         self.client = client
         self.clock = None
-        self.room = None
+        self.allocation = None
         self.ticker = None
         self.n_failed = 0
         self.renewed_at = -_LONG_AGO_S
@@ -170,7 +170,7 @@
                 name: {
                     "epoch": owned.client.epoch,
                     "failed_syncs": owned.n_failed,
-                    "free": list(owned.room.free) if owned.room else None,
+                    "free": list(owned.allocation.free) if owned.allocation else None,
                 }
                 for name, owned in self._owned.items()
             },
@@ -226,7 +226,7 @@
         """Start from what the worker itself says that runs there."""
         owned = _Owned(member=member, client=client)
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
-        owned.room = Room(
+        owned.allocation = WorkerAllocation(
             worker=member.name,
             capacity=report.capacity,
             rack=member.rack,
@@ -235,7 +235,7 @@
         owned.foreign = {request_id for request_id, _ in report.requests}
         self._owned[member.name] = owned
         out = self._book.add_worker(
-            owned.room,
+            owned.allocation,
             self.now,
             tasks=report.tasks,
             requests=report.requests,
@@ -647,10 +647,10 @@
 
     def _tell_digest(self):
         book = self._book
-        rooms = book.rooms.open_rooms()
-        shapes = {room.capacity for room in rooms}
+        allocations = book.allocations.open_allocations()
+        shapes = {allocation.capacity for allocation in allocations}
         digest = Digest(
-            n_workers=len(rooms),
+            n_workers=len(allocations),
             free_service_slots=book.free_service_slots,
             free_task_slots=book.free_task_slots,
             n_queued=book.n_queued,
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -3,7 +3,7 @@
 import pytest
 
 from anvilflow.clients import Condition, Write
-from anvilflow.decisions import LeaseClock, OwnerBook, Rooms
+from anvilflow.decisions import AllocationIndex, LeaseClock, OwnerBook
 from anvilflow.exceptions import PreconditionError
 from anvilflow.history import check_history
 from anvilflow.parts import CoordinatorPart, StorePart
@@ -143,8 +143,8 @@
     if not safeguard:
         add_worker = OwnerBook.add_worker
 
-        def forgetful(self, room, now, *, tasks=(), requests=(), leaving=False):
-            return add_worker(self, room, now)
+        def forgetful(self, allocation, now, *, tasks=(), requests=(), leaving=False):
+            return add_worker(self, allocation, now)
 
         monkeypatch.setattr(OwnerBook, "add_worker", forgetful)
     cell = make_cell()
@@ -230,12 +230,12 @@
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_reserve_keeps_room_for_requests(safeguard):
     """A batch fills the cell; a small customer's request still finds a place at once."""
-    rooms = Rooms(reserve=0.25 if safeguard else 0.0)
-    book = OwnerBook(reserve=rooms.reserve)
+    allocations = AllocationIndex(reserve=0.25 if safeguard else 0.0)
+    book = OwnerBook(reserve=allocations.reserve)
     cell = make_cell(n_instances=1)
     from anvilflow.resources import Policy, ServicePolicy
 
-    policy = Policy(name="interactive", rules=ServicePolicy(reserve=book.rooms.reserve))
+    policy = Policy(name="interactive", rules=ServicePolicy(reserve=book.allocations.reserve))
     done = cell.daemons["a1"].context.resources.write("Policy/interactive", policy)
     cell.advance(2.0)
     assert done.called
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -8,7 +8,7 @@
 import fire
 from rig import LOOKUP, REFRESH, FirstComeFirstServed, Rig, make_owner_book
 
-from anvilflow.decisions import Hold, OwnerBook, Request, Room
+from anvilflow.decisions import Hold, OwnerBook, Request, WorkerAllocation
 from anvilflow.resources import Amounts
 
 CELL = {
@@ -66,7 +66,7 @@
     capacity = Amounts(cpu_milli=64_000, memory_mb=262_144, slots=32)
     book = OwnerBook(reserve=0.25)
     for number in range(n_workers):
-        book.add_worker(Room(worker=f"w{number}", capacity=capacity), 0.0)
+        book.add_worker(WorkerAllocation(worker=f"w{number}", capacity=capacity), 0.0)
     tracemalloc.start()
     for number in range(n_running):
         hold = Hold(hold_id=f"c{number % 250}/j/{number}/1", customer="c", needs=REFRESH, age=1)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -16,7 +16,7 @@
     OwnerBook,
     Refuse,
     Request,
-    Room,
+    WorkerAllocation,
 )
 from anvilflow.metrics import summarize
 from anvilflow.resources import Amounts
@@ -34,12 +34,12 @@
 
     def __init__(self, *, reserve=0.25, hold_s=3.0):
         self.queue = []
-        self.rooms = []
+        self.allocations = []
         self.at = {}
 
-    def add_worker(self, room, now):
+    def add_worker(self, allocation, now):
         """Use a worker."""
-        self.rooms.append(room)
+        self.allocations.append(allocation)
         return []
 
     def submit(self, request, now):
@@ -57,8 +57,8 @@
 
     def finished(self, item, now, *, run_time=None):
         """Free a place."""
-        room, needs = self.at.pop(item)
-        _add(room, needs, 1)
+        allocation, needs = self.at.pop(item)
+        _add(allocation, needs, 1)
         return self._pump()
 
     task_ended = finished
@@ -70,7 +70,7 @@
     @property
     def free_service_slots(self):
         """Free slots."""
-        return sum(room.free[3] for room in self.rooms)
+        return sum(allocation.free[3] for allocation in self.allocations)
 
     @property
     def n_queued(self):
@@ -81,24 +81,26 @@
         out = []
         while self.queue:
             item, needs, value = self.queue[0]
-            room = next((room for room in self.rooms if _fits(room, needs)), None)
-            if room is None:
+            allocation = next(
+                (allocation for allocation in self.allocations if _fits(allocation, needs)), None
+            )
+            if allocation is None:
                 break
             self.queue.pop(0)
-            _add(room, needs, -1)
-            self.at[item] = (room, needs)
-            kind = Dispatch(request=value, worker=room.worker)
+            _add(allocation, needs, -1)
+            self.at[item] = (allocation, needs)
+            kind = Dispatch(request=value, worker=allocation.worker)
             out.append(kind if isinstance(value, Request) else HoldGranted(hold=value, worker=""))
         return out
 
 
-def _fits(room, needs):
-    return needs.cpu_milli <= room.free[0] and needs.slots <= room.free[3]
+def _fits(allocation, needs):
+    return needs.cpu_milli <= allocation.free[0] and needs.slots <= allocation.free[3]
 
 
-def _add(room, needs, sign):
-    room.free[0] += sign * needs.cpu_milli
-    room.free[3] += sign * needs.slots
+def _add(allocation, needs, sign):
+    allocation.free[0] += sign * needs.cpu_milli
+    allocation.free[3] += sign * needs.slots
 
 
 class Rig:
@@ -129,8 +131,8 @@
         self.books = [make_book() for _ in range(n_owners)]
         self._seen = [0] * n_owners
         for number in range(n_workers):
-            room = Room(worker=f"w{number}", capacity=capacity)
-            self.books[number % n_owners].add_worker(room, 0.0)
+            allocation = WorkerAllocation(worker=f"w{number}", capacity=capacity)
+            self.books[number % n_owners].add_worker(allocation, 0.0)
 
     def at(self, time, call, *args):
         """Call at a time."""
