--- a/anvilflow/decisions/__init__.py
+++ b/anvilflow/decisions/__init__.py
@@ -28,7 +28,7 @@
     Request,
 )
 from ._outcomes import Outcome, can_retry
-from ._owner import OwnerBook
+from ._owner import OwnerScheduler
 from ._ownership import choose_owner, rendezvous_order, score
 from ._retries import RetryBudget
 from ._round_trip import RoundTrip, RoundTripSettings
@@ -50,7 +50,7 @@
     "LeaseClock",
     "MessageAge",
     "Outcome",
-    "OwnerBook",
+    "OwnerScheduler",
     "QueuedItem",
     "RecordEnd",
     "RecordIntent",
--- a/anvilflow/decisions/_owner.py
+++ b/anvilflow/decisions/_owner.py
@@ -33,7 +33,7 @@
     expires: float
 
 
-class OwnerBook:
+class OwnerScheduler:
     """Queues and accounts of one owner.
 
     Parameters
--- a/anvilflow/decisions/tests/test_oracle.py
+++ b/anvilflow/decisions/tests/test_oracle.py
@@ -12,7 +12,7 @@
     HoldGranted,
     HoldRefused,
     HoldRevoked,
-    OwnerBook,
+    OwnerScheduler,
     Refuse,
     Request,
     WorkerAllocation,
@@ -47,7 +47,7 @@
 
     def __init__(self):
         super().__init__()
-        self.book = OwnerBook(reserve=RESERVE, hold_s=5.0)
+        self.scheduler = OwnerScheduler(reserve=RESERVE, hold_s=5.0)
         self.now = 0.0
         self.n_made = 0
         self.capacity = {}
@@ -82,14 +82,16 @@
             name = f"w{self.n_made}"
             self.capacity[name] = capacity
             self.take(
-                self.book.add_worker(WorkerAllocation(worker=name, capacity=capacity), self.now)
+                self.scheduler.add_worker(
+                    WorkerAllocation(worker=name, capacity=capacity), self.now
+                )
             )
 
     @precondition(lambda self: len(self.capacity) > 1)
     @rule(data=st.data())
     def remove_worker(self, data):
         name = data.draw(st.sampled_from(sorted(self.capacity)))
-        self.take(self.book.remove_worker(name))
+        self.take(self.scheduler.remove_worker(name))
         del self.capacity[name]
         for item in [item for item, at in self.placed.items() if at[0] == name]:
             if item.startswith("t"):
@@ -117,7 +119,7 @@
             deadline=self.now + patience,
         )
         self.waiting.add(request.request_id)
-        self.take(self.book.submit(request, self.now))
+        self.take(self.scheduler.submit(request, self.now))
 
     @rule(
         customer=customers,
@@ -134,7 +136,7 @@
         self.n_made += 1
         hold = Hold(hold_id=f"t{self.n_made}", customer=customer, needs=needs, age=age, gang=gang)
         self.waiting.add(hold.hold_id)
-        self.take(self.book.ask_hold(hold, self.now))
+        self.take(self.scheduler.ask_hold(hold, self.now))
 
     @rule(data=st.data(), how=st.sampled_from(["start", "release"]))
     def use_hold(self, data, how):
@@ -143,12 +145,12 @@
             return
         hold_id = data.draw(st.sampled_from(sorted(held)))
         if how == "start":
-            assert self.book.start(hold_id) == self.placed[hold_id][0]
-            assert self.book.start(hold_id) is None
+            assert self.scheduler.start(hold_id) == self.placed[hold_id][0]
+            assert self.scheduler.start(hold_id) is None
             self.started.add(hold_id)
         else:
             del self.placed[hold_id]
-            self.take(self.book.release_hold(hold_id, self.now))
+            self.take(self.scheduler.release_hold(hold_id, self.now))
 
     @rule(data=st.data())
     def end_one(self, data):
@@ -159,22 +161,22 @@
         del self.placed[item]
         if item in self.started:
             self.started.discard(item)
-            self.take(self.book.task_ended(item, self.now))
+            self.take(self.scheduler.task_ended(item, self.now))
         else:
-            self.take(self.book.finished(item, self.now, run_time=0.1))
+            self.take(self.scheduler.finished(item, self.now, run_time=0.1))
 
     @rule(data=st.data())
     def cancel_one(self, data):
         waiting = sorted(item for item in self.waiting if item.startswith("r"))
         if waiting:
             item = data.draw(st.sampled_from(waiting))
-            assert self.book.cancel(item)
+            assert self.scheduler.cancel(item)
             self.waiting.remove(item)
 
     @rule(seconds=st.sampled_from([0.05, 1.0, 6.0]))
     def wait(self, seconds):
         self.now += seconds
-        self.take(self.book.tick(self.now))
+        self.take(self.scheduler.tick(self.now))
 
     @invariant()
     def no_worker_is_over_its_capacity(self):
@@ -187,7 +189,7 @@
                 used[worker][number] += getattr(needs, name)
                 tasks[worker][number] += getattr(needs, name) if task else 0
         for worker, capacity in self.capacity.items():
-            allocation = self.book.allocations.get(worker)
+            allocation = self.scheduler.allocations.get(worker)
             for number, name in enumerate(RESOURCE_NAMES):
                 have = getattr(capacity, name)
                 assert used[worker][number] <= have
@@ -197,20 +199,20 @@
 
     @invariant()
     def nothing_that_waits_is_forgotten(self):
-        assert self.book.n_queued + self.book.n_holds_queued == len(self.waiting)
+        assert self.scheduler.n_queued + self.scheduler.n_holds_queued == len(self.waiting)
 
     @invariant()
     def index_agrees_with_a_scan(self):
         for needs in (Amounts(cpu_milli=300, memory_mb=256), Amounts(accelerators=1, slots=2)):
             for task in (False, True):
-                found = self.book.allocations.best_fit(needs, task=task)
+                found = self.scheduler.allocations.best_fit(needs, task=task)
                 scan = any(
                     all(
                         getattr(needs, name)
                         <= (allocation.task_free if task else allocation.free)[number]
                         for number, name in enumerate(RESOURCE_NAMES)
                     )
-                    for allocation in self.book.allocations
+                    for allocation in self.scheduler.allocations
                 )
                 assert (found is not None) == scan
 
--- a/anvilflow/decisions/tests/test_oracle_catches.py
+++ b/anvilflow/decisions/tests/test_oracle_catches.py
@@ -4,7 +4,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from anvilflow.decisions import AllocationIndex, OwnerBook
+from anvilflow.decisions import AllocationIndex, OwnerScheduler
 
 from .test_oracle import OwnerMachine
 
@@ -50,22 +50,22 @@
         held = self._held.get(hold_id)
         return held.worker if held else None
 
-    monkeypatch.setattr(OwnerBook, "start", start)
+    monkeypatch.setattr(OwnerScheduler, "start", start)
 
 
 def place_kept_for_ever(monkeypatch):
     """What a request took is not given back."""
-    monkeypatch.setattr(OwnerBook, "finished", lambda self, item, now, run_time=None: [])
+    monkeypatch.setattr(OwnerScheduler, "finished", lambda self, item, now, run_time=None: [])
 
 
 def expired_item_forgotten(monkeypatch):
     """Nobody is told of a request that waited too long."""
-    tick = OwnerBook.tick
+    tick = OwnerScheduler.tick
 
     def silent(self, now):
         return [item for item in tick(self, now) if type(item).__name__ != "Refuse"]
 
-    monkeypatch.setattr(OwnerBook, "tick", silent)
+    monkeypatch.setattr(OwnerScheduler, "tick", silent)
 
 
 def _capacity(allocation):
--- a/anvilflow/decisions/tests/test_owner.py
+++ b/anvilflow/decisions/tests/test_owner.py
@@ -1,6 +1,6 @@
 """Cases of the owner's book that runs under faults have found."""
 
-from anvilflow.decisions import Hold, HoldGranted, OwnerBook, WorkerAllocation
+from anvilflow.decisions import Hold, HoldGranted, OwnerScheduler, WorkerAllocation
 from anvilflow.resources import Amounts
 
 NEEDS = Amounts(cpu_milli=1000, memory_mb=1024)
@@ -18,15 +18,15 @@
     The home gives the ask up. Were it granted on the place that the task has, giving it up would
     free that place and the worker would be given more than it holds. (Chaos seed 863.)
     """
-    book = OwnerBook(reserve=0.0)
-    book.add_worker(WorkerAllocation(worker="w1", capacity=CAPACITY), 0.0)
+    scheduler = OwnerScheduler(reserve=0.0)
+    scheduler.add_worker(WorkerAllocation(worker="w1", capacity=CAPACITY), 0.0)
     for number in range(4):
-        book.ask_hold(make_hold(f"c/other/{number}/1"), 0.0)
-    assert book.ask_hold(make_hold("c/j/0/1"), 0.0) == []
+        scheduler.ask_hold(make_hold(f"c/other/{number}/1"), 0.0)
+    assert scheduler.ask_hold(make_hold("c/j/0/1"), 0.0) == []
     allocation = WorkerAllocation(worker="w2", capacity=CAPACITY)
     running = [(f"c/j/{number}/1", NEEDS) for number in range(4)]
-    book.add_worker(allocation, 1.0, tasks=running)
-    book.release_hold("c/j/0/1", 1.1)
+    scheduler.add_worker(allocation, 1.0, tasks=running)
+    scheduler.release_hold("c/j/0/1", 1.1)
     assert allocation.free[3] == 0
-    granted = book.ask_hold(make_hold("c/more/0/1"), 1.2)
+    granted = scheduler.ask_hold(make_hold("c/more/0/1"), 1.2)
     assert not any(isinstance(message, HoldGranted) for message in granted)
--- a/anvilflow/demo/_demo.py
+++ b/anvilflow/demo/_demo.py
@@ -127,15 +127,15 @@
 
 
 def _show_live(at, load, cell):
-    books = [daemon.supervisor.part("owner") for daemon in cell.daemons.values()]
-    books = [part.book for part in books if part is not None]
+    schedulers = [daemon.supervisor.part("owner") for daemon in cell.daemons.values()]
+    schedulers = [part.scheduler for part in schedulers if part is not None]
     waits = load.metrics.summary()
     small = waits.get((load.deployment.small, "service"), {"p99": 0.0})
     print(
         f"{at:5.1f} s  live {len(cell.daemons)}  requests {sum(load.outcomes.values()):5d}  "
-        f"queued {sum(book.n_queued for book in books):3d}  "
-        f"running {sum(book.n_running for book in books):3d}  "
-        f"tasks {sum(book.n_tasks for book in books):3d}  "
+        f"queued {sum(scheduler.n_queued for scheduler in schedulers):3d}  "
+        f"running {sum(scheduler.n_running for scheduler in schedulers):3d}  "
+        f"tasks {sum(scheduler.n_tasks for scheduler in schedulers):3d}  "
         f"jobs open {len(_unfinished(cell)):3d}  "
         f"{load.deployment.small} p99 {1000 * small['p99']:6.1f} ms"
     )
--- a/anvilflow/parts/_coordinator.py
+++ b/anvilflow/parts/_coordinator.py
@@ -60,10 +60,10 @@
 class _Coordinator:
     """One customer whose home this instance is."""
 
-    __slots__ = ("book", "epoch", "owners", "records", "stopping")
+    __slots__ = ("epoch", "owners", "records", "scheduler", "stopping")
 
-    def __init__(self, *, book, epoch):
-        self.book = book
+    def __init__(self, *, scheduler, epoch):
+        self.scheduler = scheduler
         self.epoch = epoch
         self.records = {}
         self.owners = {}
@@ -115,7 +115,10 @@
         return {
             customer: {
                 "epoch": coordinator.epoch,
-                "jobs": {name: coordinator.book.status(name) for name in coordinator.book.names()},
+                "jobs": {
+                    name: coordinator.scheduler.status(name)
+                    for name in coordinator.scheduler.names()
+                },
             }
             for customer, coordinator in self._coordinators.items()
         }
@@ -181,12 +184,12 @@
         if not self._mine(customer):
             return
         limits = self.context.settings.limits
-        book = JobCoordinator(
+        scheduler = JobCoordinator(
             customer=customer,
             window=limits.holds_per_customer,
             hold_s=self.context.settings.timing.hold_s,
         )
-        coordinator = _Coordinator(book=book, epoch=epoch)
+        coordinator = _Coordinator(scheduler=scheduler, epoch=epoch)
         self._coordinators[customer] = coordinator
         for row in rows:
             _, _, job, index = row.key.split("/")
@@ -204,7 +207,7 @@
     def _add_jobs(self, customer, keys=None):
         coordinator = self._coordinators[customer]
         declared = self.context.catalog.get(f"Customer/{customer}")
-        coordinator.book.quota = declared.quota if declared else None
+        coordinator.scheduler.quota = declared.quota if declared else None
         names = keys if keys is not None else self.context.catalog.keys(f"Job/{customer}/")
         for key in names:
             if not key.startswith(f"Job/{customer}/"):
@@ -212,9 +215,9 @@
             job = self.context.catalog.get(key)
             if job is None or job.phase in _ENDED:
                 continue
-            if job.name in coordinator.book:
+            if job.name in coordinator.scheduler:
                 if job.phase is JobPhase.CANCELLING:
-                    self._act(coordinator, coordinator.book.cancel_job(job.name))
+                    self._act(coordinator, coordinator.scheduler.cancel_job(job.name))
                 continue
             self._add_job(coordinator, job)
 
@@ -230,7 +233,7 @@
             return
         declared = catalog.get(f"Customer/{job.customer}")
         self._submitted.setdefault((job.customer, job.name), self.now)
-        out = coordinator.book.add_job(
+        out = coordinator.scheduler.add_job(
             job,
             age=catalog.revision_of(f"Job/{job.customer}/{job.name}"),
             needs=workload.needs,
@@ -259,10 +262,10 @@
                 self.context.send(source, HoldRelease(hold_id=body.hold_id))
             return
         if body.verdict == "granted":
-            out = coordinator.book.hold_granted(body.hold_id, body.worker, self.now)
+            out = coordinator.scheduler.hold_granted(body.hold_id, body.worker, self.now)
         else:
             coordinator.owners.pop(body.hold_id, None)
-            out = coordinator.book.hold_refused(body.hold_id, body.reason, self.now)
+            out = coordinator.scheduler.hold_refused(body.hold_id, body.reason, self.now)
         self._act(coordinator, out)
 
     def _task_answer(self, source, body):
@@ -272,12 +275,12 @@
         coordinator.stopping.pop(body.hold_id, None)
         if body.verdict == "ended":
             coordinator.owners[body.hold_id] = source
-            out = coordinator.book.task_ended(body.hold_id, body.ok, body.result)
-            if not out and not coordinator.book.is_ending(body.hold_id):
+            out = coordinator.scheduler.task_ended(body.hold_id, body.ok, body.result)
+            if not out and not coordinator.scheduler.is_ending(body.hold_id):
                 out = [AckTask(hold_id=body.hold_id)]
         else:
             coordinator.owners.pop(body.hold_id, None)
-            out = coordinator.book.task_lost(body.hold_id)
+            out = coordinator.scheduler.task_lost(body.hold_id)
         self._act(coordinator, out)
 
     def _peer_down(self, _, event):
@@ -288,7 +291,7 @@
                 del coordinator.owners[hold_id]
                 self._act(
                     coordinator,
-                    coordinator.book.hold_refused(hold_id, RefuseReason.EXPIRED, self.now),
+                    coordinator.scheduler.hold_refused(hold_id, RefuseReason.EXPIRED, self.now),
                 )
 
     def _query(self):
@@ -296,7 +299,7 @@
         context = self.context
         for coordinator in self._coordinators.values():
             by_worker = {}
-            for hold_id, worker in coordinator.book.bound_tasks().items():
+            for hold_id, worker in coordinator.scheduler.bound_tasks().items():
                 by_worker.setdefault(worker, []).append(hold_id)
             for worker, hold_ids in by_worker.items():
                 owner = choose_owner(context.live, worker)
@@ -314,7 +317,7 @@
 
     def _tick(self):
         for coordinator in list(self._coordinators.values()):
-            self._act(coordinator, coordinator.book.tick(self.now))
+            self._act(coordinator, coordinator.scheduler.tick(self.now))
 
     def _act(self, coordinator, messages):
         """Carry out decisions in the order in which they were made, see ``OwnerPart._act``."""
@@ -356,7 +359,7 @@
         if owner is None:
             self._act(
                 coordinator,
-                coordinator.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
+                coordinator.scheduler.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
             )
             return
         coordinator.owners[hold.hold_id] = owner
@@ -371,7 +374,7 @@
             coordinator.owners.pop(hold.hold_id, None)
             self._act(
                 coordinator,
-                coordinator.book.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
+                coordinator.scheduler.hold_refused(hold.hold_id, RefuseReason.NO_WORKER, self.now),
             )
 
     def _choose_owner(self, hold):
@@ -402,7 +405,7 @@
 
         def done(error):
             if self._check_written(customer, coordinator, error):
-                self._act(coordinator, coordinator.book.intent_recorded(message.job, hold_ids))
+                self._act(coordinator, coordinator.scheduler.intent_recorded(message.job, hold_ids))
 
         self._commit(coordinator, customer, writes, done)
 
@@ -441,7 +444,9 @@
         def done(error):
             if self._check_written(message.customer, coordinator, error):
                 self._acknowledge(coordinator, message.hold_id)
-                self._act(coordinator, coordinator.book.end_recorded(message.hold_id, message.ok))
+                self._act(
+                    coordinator, coordinator.scheduler.end_recorded(message.hold_id, message.ok)
+                )
 
         self._commit(coordinator, message.customer, [Write(key=key, value=value)], done)
 
@@ -465,7 +470,7 @@
     def _start_task(self, coordinator, message):
         customer, job, _, _ = message.hold_id.split("/")
         submitted = self._submitted.get((customer, job), self.now)
-        kind = "gang" if coordinator.book.is_gang(job) else "batch"
+        kind = "gang" if coordinator.scheduler.is_gang(job) else "batch"
         self.context.metrics.waited(customer, kind, self.now - submitted)
         owner = coordinator.owners.get(message.hold_id)
         start = TaskStart(
@@ -502,14 +507,14 @@
         done.addErrback(self.fail_with)
 
     def _phase_written(self, coordinator, message):
-        coordinator.book.phase_recorded(message.job, message.phase)
+        coordinator.scheduler.phase_recorded(message.job, message.phase)
         self.context.changes.trigger()
 
     def _phase_failed(self, failure, coordinator, message):
         if self._coordinators.get(message.customer) is not coordinator:
             return
         if not failure.check(PlatformError):
-            coordinator.book.phase_recorded(message.job, JobPhase.CANCELLED)
+            coordinator.scheduler.phase_recorded(message.job, JobPhase.CANCELLED)
             return
         delay = jitter(self.context.random_state, _AGAIN_S)
         self.later(delay, self._write_phase, coordinator, message)
@@ -521,7 +526,7 @@
             return
         customer, job = body.key.split("/", 1)
         coordinator = self._coordinators.get(customer)
-        status = coordinator.book.status(job) if coordinator else None
+        status = coordinator.scheduler.status(job) if coordinator else None
         self.context.send(source, StatusAnswer(call=body.call, body=encode(status)))
 
 
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -12,7 +12,7 @@
     HoldRevoked,
     LeaseClock,
     Outcome,
-    OwnerBook,
+    OwnerScheduler,
     Refuse,
     RefuseReason,
     Request,
@@ -112,7 +112,7 @@
 
     def __init__(self, *, context):
         super().__init__(context=context)
-        self._book = OwnerBook(hold_s=context.settings.timing.hold_s)
+        self._scheduler = OwnerScheduler(hold_s=context.settings.timing.hold_s)
         self._owned = {}
         self._claiming = set()
         self._origins = {}
@@ -128,9 +128,9 @@
         return len(self._origins)
 
     @property
-    def book(self):
+    def scheduler(self):
         """Queues and accounts."""
-        return self._book
+        return self._scheduler
 
     def start(self):
         """Take messages and claim workers."""
@@ -160,12 +160,12 @@
 
     def dump(self):
         """Return queues and workers."""
-        book = self._book
+        scheduler = self._scheduler
         return {
-            "queued": book.n_queued,
-            "running": book.n_running,
-            "holds_queued": book.n_holds_queued,
-            "tasks": book.n_tasks,
+            "queued": scheduler.n_queued,
+            "running": scheduler.n_running,
+            "holds_queued": scheduler.n_holds_queued,
+            "tasks": scheduler.n_tasks,
             "workers": {
                 name: {
                     "epoch": owned.client.epoch,
@@ -234,7 +234,7 @@
         )
         owned.foreign = {request_id for request_id, _ in report.requests}
         self._owned[member.name] = owned
-        out = self._book.add_worker(
+        out = self._scheduler.add_worker(
             owned.allocation,
             self.now,
             tasks=report.tasks,
@@ -250,14 +250,14 @@
         if owned is None:
             return
         owned.ticker.stop()
-        self._act(self._book.remove_worker(name))
+        self._act(self._scheduler.remove_worker(name))
         self.log.info("Worker {} given up.", name)
 
     def _close_leaving(self):
         """Give no new work to workers that leave: their room is taken out of the book."""
         for name in self._owned:
             if self._is_leaving(name):
-                self._act(self._book.close_worker(name))
+                self._act(self._scheduler.close_worker(name))
 
     def _is_leaving(self, name):
         member = self.context.workers.get(name)
@@ -272,7 +272,7 @@
         """
         timing = self.context.settings.timing
         followed = owned.bars or owned.overdue or owned.foreign or owned.forget or owned.ended
-        if followed or owned.n_failed or self._book.tasks_on(owned.member.name):
+        if followed or owned.n_failed or self._scheduler.tasks_on(owned.member.name):
             return timing.worker_sync_s
         return timing.idle_sync_s
 
@@ -285,7 +285,7 @@
         sent = self.now
         until = owned.clock.until(sent, settings.lease.task_s)
         renews = sent - owned.renewed_at >= settings.lease.task_s / _RENEWALS_PER_LEASE
-        started = self._book.tasks_on(name)
+        started = self._scheduler.tasks_on(name)
         settled = {hold_id for hold_id in started if hold_id not in owned.starting}
         bars = set(owned.bars)
         forget = set(owned.forget)
@@ -306,7 +306,7 @@
             return
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
         if owned.n_failed >= _SILENT_SYNCS and not self._is_leaving(name):
-            self._act(self._book.reopen_worker(name, self.now))
+            self._act(self._scheduler.reopen_worker(name, self.now))
         if renews:
             owned.renewed_at = sent
         owned.n_failed = 0
@@ -318,7 +318,7 @@
         owned.n_failed += 1
         if owned.n_failed == _SILENT_SYNCS:
             self.log.warning("Worker {} is silent: {}.", owned.member.name, exc)
-            self._act(self._book.close_worker(owned.member.name))
+            self._act(self._scheduler.close_worker(owned.member.name))
 
     def _sync_refused(self, owned, exc):
         """The worker has another owner, came back without memory, or is not there any more."""
@@ -341,7 +341,7 @@
                 continue
             owned.missing.discard(hold_id)
             owned.ended[hold_id] = task
-            self._act(self._book.task_ended(hold_id, now))
+            self._act(self._scheduler.task_ended(hold_id, now))
             self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
         for hold_id in settled - running - set(ended):
             if hold_id in bars:
@@ -356,11 +356,11 @@
         for request_id in gone_candidates - set(report.requests):
             owned.foreign.discard(request_id)
             owned.overdue.pop(request_id, None)
-            self._act(self._book.release_foreign(name, request_id, now))
+            self._act(self._scheduler.release_foreign(name, request_id, now))
 
     def _lost(self, owned, hold_id):
         owned.bars.discard(hold_id)
-        self._act(self._book.task_ended(hold_id, self.now))
+        self._act(self._scheduler.task_ended(hold_id, self.now))
         self._notify_coordinator(hold_id, "lost")
 
     # Requests
@@ -392,10 +392,10 @@
         )
         self._origins[body.request_id] = (source, body.payload)
         self._arrived[body.request_id] = now
-        self._act(self._book.submit(request, now))
+        self._act(self._scheduler.submit(request, now))
 
     def _cancel(self, source, body):
-        if self._book.cancel(body.request_id):
+        if self._scheduler.cancel(body.request_id):
             self._end_request(
                 body.request_id, Outcome.NOT_RUN, code="AF302", reason=RefuseReason.CANCELLED
             )
@@ -442,9 +442,9 @@
             run_time=run_time or 0.0,
         )
         if outcome is Outcome.UNKNOWN:
-            self._act(self._book.overdue(request.request_id))
+            self._act(self._scheduler.overdue(request.request_id))
         else:
-            self._act(self._book.finished(request.request_id, self.now, run_time=run_time))
+            self._act(self._scheduler.finished(request.request_id, self.now, run_time=run_time))
 
     def _end_request(self, request_id, outcome, **values):
         source, _ = self._origins.pop(request_id)
@@ -496,14 +496,14 @@
             weight=customer.priority,
         )
         self._hold_coordinators[body.hold_id] = source
-        self._act(self._book.ask_hold(hold, self.now))
+        self._act(self._scheduler.ask_hold(hold, self.now))
 
     def _hold_release(self, _, body):
         self._hold_coordinators.pop(body.hold_id, None)
-        self._act(self._book.release_hold(body.hold_id, self.now))
+        self._act(self._scheduler.release_hold(body.hold_id, self.now))
 
     def _task_start(self, source, body):
-        worker = self._book.start(body.hold_id)
+        worker = self._scheduler.start(body.hold_id)
         if worker is None:
             self.context.send(source, _task_answer(body.hold_id, "lost"))
             return
@@ -527,7 +527,7 @@
                 payload=body.payload,
             )
         except WorkerRefusedError:
-            self._act(self._book.task_ended(hold_id, self.now))
+            self._act(self._scheduler.task_ended(hold_id, self.now))
             self._notify_coordinator(hold_id, "lost")
         except WorkerUnreachableError as exc:
             # It may have started. The next reports tell; until then its place stays taken.
@@ -540,7 +540,7 @@
         if owned is None:
             return
         self._hold_coordinators[body.hold_id] = source
-        self._act(self._book.release_hold(body.hold_id, self.now))
+        self._act(self._scheduler.release_hold(body.hold_id, self.now))
         if body.hold_id in owned.ended:
             return
         owned.bars.add(body.hold_id)
@@ -561,8 +561,8 @@
             if hold_id in owned.ended:
                 task = owned.ended[hold_id]
                 self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
-            elif self._book.worker_of(hold_id) is None:
-                self._act(self._book.release_hold(hold_id, self.now))
+            elif self._scheduler.worker_of(hold_id) is None:
+                self._act(self._scheduler.release_hold(hold_id, self.now))
                 owned.bars.add(hold_id)
                 owned.ticker.trigger()
 
@@ -628,12 +628,12 @@
                 self._answer_hold(coordinator, hold.hold_id, "refused", reason=RefuseReason.EXPIRED)
 
     def _sweep_period(self):
-        book = self._book
-        waits = book.n_queued or book.n_holds_queued or book.n_held
+        scheduler = self._scheduler
+        waits = scheduler.n_queued or scheduler.n_holds_queued or scheduler.n_held
         return _SWEEP_S if waits else _IDLE_SWEEP_S
 
     def _sweep(self):
-        self._act(self._book.tick(self.now))
+        self._act(self._scheduler.tick(self.now))
 
     def _catalog_changed(self, _, __):
         catalog = self.context.catalog
@@ -643,18 +643,18 @@
             if isinstance(policy.rules, ServicePolicy)
         ]
         if reserves:
-            self._act(self._book.set_reserve(max(reserves), self.now))
+            self._act(self._scheduler.set_reserve(max(reserves), self.now))
 
     def _tell_digest(self):
-        book = self._book
-        allocations = book.allocations.open_allocations()
+        scheduler = self._scheduler
+        allocations = scheduler.allocations.open_allocations()
         shapes = {allocation.capacity for allocation in allocations}
         digest = Digest(
             n_workers=len(allocations),
-            free_service_slots=book.free_service_slots,
-            free_task_slots=book.free_task_slots,
-            n_queued=book.n_queued,
-            n_holds_queued=book.n_holds_queued,
+            free_service_slots=scheduler.free_service_slots,
+            free_task_slots=scheduler.free_task_slots,
+            n_queued=scheduler.n_queued,
+            n_holds_queued=scheduler.n_holds_queued,
             shapes=[
                 Shape(
                     cpu_milli=shape.cpu_milli,
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -3,7 +3,7 @@
 import pytest
 
 from anvilflow.clients import Condition, Write
-from anvilflow.decisions import AllocationIndex, LeaseClock, OwnerBook
+from anvilflow.decisions import AllocationIndex, LeaseClock, OwnerScheduler
 from anvilflow.exceptions import PreconditionError
 from anvilflow.history import check_history
 from anvilflow.parts import CoordinatorPart, StorePart
@@ -98,7 +98,7 @@
         def overdue(self, request_id):
             return self.finished(request_id, 0.0)
 
-        monkeypatch.setattr(OwnerBook, "overdue", overdue)
+        monkeypatch.setattr(OwnerScheduler, "overdue", overdue)
     cell = make_cell(n_workers=2)
     for _ in range(40):
         for customer in ("small", "large"):
@@ -141,12 +141,12 @@
     The next owner must count what the worker says that runs there before it places anything.
     """
     if not safeguard:
-        add_worker = OwnerBook.add_worker
+        add_worker = OwnerScheduler.add_worker
 
         def forgetful(self, allocation, now, *, tasks=(), requests=(), leaving=False):
             return add_worker(self, allocation, now)
 
-        monkeypatch.setattr(OwnerBook, "add_worker", forgetful)
+        monkeypatch.setattr(OwnerScheduler, "add_worker", forgetful)
     cell = make_cell()
     for customer in ("small", "large"):
         cell.submit("a1", make_job("j1", "refresh", 60, seconds=9.0, customer=customer))
@@ -231,11 +231,11 @@
 def test_reserve_keeps_room_for_requests(safeguard):
     """A batch fills the cell; a small customer's request still finds a place at once."""
     allocations = AllocationIndex(reserve=0.25 if safeguard else 0.0)
-    book = OwnerBook(reserve=allocations.reserve)
+    scheduler = OwnerScheduler(reserve=allocations.reserve)
     cell = make_cell(n_instances=1)
     from anvilflow.resources import Policy, ServicePolicy
 
-    policy = Policy(name="interactive", rules=ServicePolicy(reserve=book.allocations.reserve))
+    policy = Policy(name="interactive", rules=ServicePolicy(reserve=scheduler.allocations.reserve))
     done = cell.daemons["a1"].context.resources.write("Policy/interactive", policy)
     cell.advance(2.0)
     assert done.called
--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -6,9 +6,9 @@
 from random import Random
 
 import fire
-from rig import LOOKUP, REFRESH, FirstComeFirstServed, Rig, make_owner_book
+from rig import LOOKUP, REFRESH, FirstComeFirstServed, Rig, make_owner_scheduler
 
-from anvilflow.decisions import Hold, OwnerBook, Request, WorkerAllocation
+from anvilflow.decisions import Hold, OwnerScheduler, Request, WorkerAllocation
 from anvilflow.resources import Amounts
 
 CELL = {
@@ -27,9 +27,9 @@
     print(f"{'reached' if good else 'SHORT':8} {line}: {value:,.3f} ({word} {limit:,})")
 
 
-def isolation(make_book, factor, seed):
+def isolation(make_scheduler, factor, seed):
     """Return the small customer's waits with a neighbour at `factor` times its rate."""
-    rig = Rig(make_book=make_book, random_state=seed, **CELL)
+    rig = Rig(make_scheduler=make_scheduler, random_state=seed, **CELL)
     random_state = Random(seed)
 
     def heavy_tail():
@@ -48,9 +48,12 @@
     print("\nWaiting of the small customer, ms, with a batch backlog and a neighbour at N times")
     print(f"{'policy':24} {'N':>4} {'p50':>9} {'p99':>9} {'max':>9} {'refused':>8} {'packing':>8}")
     results = {}
-    for name, make_book in (("anvilflow", make_owner_book), ("fcfs", FirstComeFirstServed)):
+    for name, make_scheduler in (
+        ("anvilflow", make_owner_scheduler),
+        ("fcfs", FirstComeFirstServed),
+    ):
         for factor in (0, 1, 10, 100):
-            rig = isolation(make_book, factor, seed)
+            rig = isolation(make_scheduler, factor, seed)
             row = rig.summary("small")
             slots = CELL["n_workers"] * CELL["capacity"].slots
             packing = rig.busy_slot_s / (slots * SECONDS)
@@ -64,14 +67,14 @@
 def bench_cost(n_workers, n_running, n_rounds=20_000):
     """Return decisions a second, p50 and p99 of one decision in us, and bytes a task."""
     capacity = Amounts(cpu_milli=64_000, memory_mb=262_144, slots=32)
-    book = OwnerBook(reserve=0.25)
+    scheduler = OwnerScheduler(reserve=0.25)
     for number in range(n_workers):
-        book.add_worker(WorkerAllocation(worker=f"w{number}", capacity=capacity), 0.0)
+        scheduler.add_worker(WorkerAllocation(worker=f"w{number}", capacity=capacity), 0.0)
     tracemalloc.start()
     for number in range(n_running):
         hold = Hold(hold_id=f"c{number % 250}/j/{number}/1", customer="c", needs=REFRESH, age=1)
-        book.ask_hold(hold, 0.0)
-        book.start(hold.hold_id)
+        scheduler.ask_hold(hold, 0.0)
+        scheduler.start(hold.hold_id)
     size = tracemalloc.get_traced_memory()[0] / n_running
     tracemalloc.stop()
     times = []
@@ -86,11 +89,11 @@
             deadline=5.0,
         )
         began = clock()
-        placed = book.submit(request, 0.0)
+        placed = scheduler.submit(request, 0.0)
         times.append(clock() - began)
         assert placed
         began = clock()
-        book.finished(request.request_id, 0.0, run_time=0.02)
+        scheduler.finished(request.request_id, 0.0, run_time=0.02)
         times[-1] += clock() - began
     times.sort()
     p50, p99 = times[len(times) // 2], times[int(len(times) * 0.99)]
@@ -99,7 +102,7 @@
 
 def bench_urgent(seed):
     """Return the waits of urgent requests on a cell that a batch fills."""
-    rig = Rig(make_book=make_owner_book, random_state=seed, **CELL)
+    rig = Rig(make_scheduler=make_owner_scheduler, random_state=seed, **CELL)
     random_state = Random(seed)
     rig.backlog("batch", 8, lambda: random_state.uniform(5.0, 50.0), SECONDS)
     rig.arrivals("urgent", 20.0, lambda: 0.5, SECONDS)
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -13,7 +13,7 @@
     Dispatch,
     Hold,
     HoldGranted,
-    OwnerBook,
+    OwnerScheduler,
     Refuse,
     Request,
     WorkerAllocation,
@@ -108,7 +108,7 @@
 
     Parameters
     ----------
-    make_book : callable
+    make_scheduler : callable
         Builds the book of one owner.
     n_owners, n_workers : int
     capacity : Amounts
@@ -116,7 +116,7 @@
     random_state : int
     """
 
-    def __init__(self, *, make_book, n_owners, n_workers, capacity, random_state):
+    def __init__(self, *, make_scheduler, n_owners, n_workers, capacity, random_state):
         self.random_state = Random(random_state)
         self.capacity = capacity
         self.now = 0.0
@@ -128,11 +128,11 @@
         self._order = itertools.count()
         self._arrived = {}
         self._run_times = {}
-        self.books = [make_book() for _ in range(n_owners)]
+        self.schedulers = [make_scheduler() for _ in range(n_owners)]
         self._seen = [0] * n_owners
         for number in range(n_workers):
             allocation = WorkerAllocation(worker=f"w{number}", capacity=capacity)
-            self.books[number % n_owners].add_worker(allocation, 0.0)
+            self.schedulers[number % n_owners].add_worker(allocation, 0.0)
 
     def at(self, time, call, *args):
         """Call at a time."""
@@ -147,7 +147,7 @@
 
     def backlog(self, customer, n_waiting, run_time, until):
         """Keep `n_waiting` tasks waiting at each owner until a time."""
-        for number, _ in enumerate(self.books):
+        for number, _ in enumerate(self.schedulers):
             for _ in range(n_waiting):
                 self._hold(number, customer, run_time, until)
 
@@ -168,15 +168,17 @@
 
     def _see(self):
         """Take new digests."""
-        self._seen = [book.free_service_slots - book.n_queued for book in self.books]
+        self._seen = [
+            scheduler.free_service_slots - scheduler.n_queued for scheduler in self.schedulers
+        ]
 
     def _tick(self):
-        for number, book in enumerate(self.books):
-            self._take(number, book.tick(self.now))
+        for number, scheduler in enumerate(self.schedulers):
+            self._take(number, scheduler.tick(self.now))
 
     def _choose(self):
-        numbers = range(len(self.books))
-        some = self.random_state.sample(numbers, min(2, len(self.books)))
+        numbers = range(len(self.schedulers))
+        some = self.random_state.sample(numbers, min(2, len(self.schedulers)))
         best = max(some, key=lambda number: self._seen[number])
         self._seen[best] -= 1
         return best
@@ -194,7 +196,7 @@
             run_time=0.02,
             deadline=self.now + deadline,
         )
-        self._take(number, self.books[number].submit(request, self.now))
+        self._take(number, self.schedulers[number].submit(request, self.now))
 
     def _hold(self, number, customer, run_time, until):
         if self.now >= until:
@@ -205,16 +207,16 @@
         again = (self._hold, number, customer, run_time, until)
         self._run_times[item, "again"] = again
         hold = Hold(hold_id=item, customer=customer, needs=REFRESH, age=1)
-        self._take(number, self.books[number].ask_hold(hold, self.now))
+        self._take(number, self.schedulers[number].ask_hold(hold, self.now))
 
     def _take(self, number, messages):
         for message in messages:
             match message:
                 case Dispatch(request=request):
-                    self._placed(number, request.request_id, self.books[number].finished)
+                    self._placed(number, request.request_id, self.schedulers[number].finished)
                 case HoldGranted(hold=hold):
-                    self.books[number].start(hold.hold_id)
-                    self._placed(number, hold.hold_id, self.books[number].task_ended)
+                    self.schedulers[number].start(hold.hold_id)
+                    self._placed(number, hold.hold_id, self.schedulers[number].task_ended)
                     again = self._run_times.pop((hold.hold_id, "again"), None)
                     if again:
                         self.at(self.now, *again)
@@ -239,6 +241,6 @@
         self._take(number, end(item, self.now))
 
 
-def make_owner_book():
+def make_owner_scheduler():
     """Return the product's book."""
-    return OwnerBook(reserve=0.25)
+    return OwnerScheduler(reserve=0.25)
