--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -2,7 +2,7 @@
 
 from twisted.internet.defer import Deferred, TimeoutError, fail
 
-from ..exceptions import NotReadyError, PeerSilentError
+from ..exceptions import NotReadyError, PeerTimeoutError
 from ..peers import Link, LinkFactory
 from ..peers.gen.ttypes import (
     AdviceCall,
@@ -221,7 +221,7 @@
         for call, (used, done) in list(self._calls.items()):
             if used is link:
                 del self._calls[call]
-                done.errback(PeerSilentError("the connection to the other instance is gone"))
+                done.errback(PeerTimeoutError("the connection to the other instance is gone"))
         if link is self.leader_link:
             self.leader_link = None
             if not self._stopped:
@@ -231,7 +231,7 @@
             self._gone[link.peer.instance] = (link.peer, self.now)
         asked = self._asked.pop(link, None)
         if asked is not None:
-            asked.errback(PeerSilentError("the connection to the other instance is gone"))
+            asked.errback(PeerTimeoutError("the connection to the other instance is gone"))
 
     def link_broken(self, link, error):
         """The other end sent what cannot be read."""
@@ -299,7 +299,7 @@
     def _call_failed(self, failure, number):
         self._calls.pop(number, None)
         if failure.check(TimeoutError):
-            raise PeerSilentError("the other instance gave no answer in time") from failure.value
+            raise PeerTimeoutError("the other instance gave no answer in time") from failure.value
         return failure
 
     def _serve_job(self, link, body):
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -1,7 +1,7 @@
 """Which instances make the home's calls to workers."""
 
 from ..decisions import choose_owner
-from ..exceptions import NotReadyError, PeerSilentError
+from ..exceptions import NotReadyError, PeerTimeoutError
 from ._leader_eligibility import can_lead
 from ._worker_commands import LATE, LEAVING
 
@@ -166,7 +166,7 @@
         return done.addErrback(self._silent, name)
 
     def _silent(self, failure, name):
-        failure.trap(NotReadyError, PeerSilentError)
+        failure.trap(NotReadyError, PeerTimeoutError)
         self.rest(name, "silent")
         return failure
 
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -5,7 +5,7 @@
 from ..exceptions import (
     NotReadyError,
     PayloadGoneError,
-    PeerSilentError,
+    PeerTimeoutError,
     PlatformError,
     WorkerRefusedError,
     WorkerUnreachableError,
@@ -215,7 +215,7 @@
     def _unanswered(self, failure, command):
         if failure.check(NotReadyError):
             return self._send(command)
-        failure.trap(PeerSilentError)
+        failure.trap(PeerTimeoutError)
         if command.verb is Verb.HOLD:
             command.n_left = 0
             return self._send(command)
--- a/anvilflow/exceptions.py
+++ b/anvilflow/exceptions.py
@@ -15,7 +15,7 @@
     "NotReadyError",
     "OverloadedError",
     "PartError",
-    "PeerSilentError",
+    "PeerTimeoutError",
     "PlatformError",
     "PlatformRefusedError",
     "PlatformUnavailableError",
@@ -232,7 +232,7 @@
     code = "AF501"
 
 
-class PeerSilentError(AnvilflowError):
+class PeerTimeoutError(AnvilflowError):
     """Another instance gave no answer: what it was asked to do may happen."""
 
     code = "AF502"
