--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize("loss", ["killed", "paused"])
-def test_added_queue_is_served_while_the_home_is_lost(loss):
+def test_added_queue_is_served_while_the_leader_is_lost(loss):
     """The home is lost 2.5 s after the change, and all others are asked how many jobs wait.
 
     They refused with 503 until the next home had begun: 0.5 s after a kill, 0.9 s after a pause.
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_jobs_that_come_while_there_is_no_home_are_counted(monkeypatch, safeguard):
+def test_jobs_that_come_while_there_is_no_leader_are_counted(monkeypatch, safeguard):
     """Two jobs wait, the home dies, and three more are accepted by several instances.
 
     What the home told last is good for a moment. Kept for longer, callers would be told for the
@@ -131,7 +131,7 @@
     assert cell.errors == []
 
 
-def test_count_waits_for_the_first_home_after_the_end_of_all_instances():
+def test_count_waits_for_the_first_leader_after_the_end_of_all_instances():
     """All instances end at once; the first caller is there before one of them is the home.
 
     Refused at once, callers were told to come again by instances that knew the queue; the home
@@ -144,7 +144,7 @@
     assert [status for answer in answers for status, *_ in answer] == [200] * len(answers)
 
 
-def test_count_is_refused_at_once_where_no_home_can_begin():
+def test_count_is_refused_at_once_where_no_leader_can_begin():
     """The store is away, and no instance has heard a home since its start."""
     cell = make_cell(n_instances=3)
     name = cell.other()
@@ -173,7 +173,7 @@
     assert _n_waiting(cell, name) == 0
 
 
-def test_count_is_told_without_a_home_where_the_store_has_dropped_its_history(monkeypatch):
+def test_count_is_told_without_a_leader_where_the_store_has_dropped_its_history(monkeypatch):
     """Instances that lost their home refused each queue until there was another one."""
     cell = make_cell(n_instances=3)
     cell.submit(cell.other(), JOB, {"count": 1, "cpu": 500}, spec="0.1 done 500")
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -166,7 +166,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_home_is_stopped_by_the_next(monkeypatch, safeguard):
+def test_late_start_of_a_removed_leader_is_stopped_by_the_next(monkeypatch, safeguard):
     """A worker leaves a start unanswered; the job is cancelled and its home is removed for good.
 
     The worker, which the next home does not reach yet, carries the start out. No record tells of
@@ -181,7 +181,7 @@
     cell.advance(0.05)
     _late_stops(cell, 2)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     for faults in cell.worker_faults.values():
         faults.silent = True
     cell.advance(1.6)
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_home(monkeypatch, safeguard):
+def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_leader(monkeypatch, safeguard):
     """A cancelling is durable, its stops go astray, and two homes in a row are removed.
 
     Each next home lists the job as ended and stops its tasks at the first report. Taken for those
@@ -209,17 +209,17 @@
     cell.advance(1.0)
     _late_stops(cell, 100)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(1.8)
     for worker in cell.workers.values():
         worker.n_late_stops = 0
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(6.0)
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_an_entry_accepts_without_a_home_is_carried_out(monkeypatch, safeguard):
+def test_cancelling_that_an_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
     """The home is removed; a client cancels before there is another, and hears 200.
 
     The mark in the store is read by the next home when it begins. Not read, the job would go on.
@@ -230,7 +230,7 @@
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
     name = cell.other()
-    _replace_home(cell)
+    _replace_leader(cell)
     acked_at = cancel(cell, name)
     cell.advance(6.0)
     assert cell.leader() in cell.leaders()
@@ -238,7 +238,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_was_lost_with_its_home_is_marked_by_the_entry(monkeypatch, safeguard):
+def test_cancelling_that_was_lost_with_its_leader_is_marked_by_the_gateway(monkeypatch, safeguard):
     """A slow store has not taken the cancelling yet when the home that wrote it is removed.
 
     The entry that asked for it writes a mark before it answers. The 2xx of one that did not would
@@ -256,7 +256,7 @@
     answers = cell.call(name, "DELETE", f"/urgent/{JOB}")
     cell.advance(0.1)
     assert not answers
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(1.0)
     assert answers[0][0] == 200
     acked_at = cell.clock.seconds()
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_a_dark_worker_is_stopped_by_the_next_home(monkeypatch, safeguard):
+def test_task_on_a_dark_worker_is_stopped_by_the_next_leader(monkeypatch, safeguard):
     """A worker goes dark, its task's job is cancelled, and the home is removed; then it answers.
 
     The former home's row names the task, which is not taken on: its job has ended. Listed by the
@@ -281,7 +281,7 @@
     cell.advance(0.7)
     acked_at = cancel(cell, cell.other())
     cell.advance(0.2)
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(0.8)
     faults.clear()
     cell.advance(6.0)
@@ -317,7 +317,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_home_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
+def test_late_start_of_a_removed_leader_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
     """A start takes effect after the next home has held the worker: its token is too low by then.
 
     Were the tokens of both homes alike, the task of a cancelled job would begin.
@@ -330,7 +330,7 @@
     cell.advance(0.05)
     _late_stops(cell, 1)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(9.0)
     assert (cell.spans == []) is safeguard
     assert find_runs_after_cancelling(cell, acked_at) == []
@@ -367,7 +367,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
+def test_leader_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
     monkeypatch, safeguard
 ):
     """A home is paused while its stops are under way, and wakes when there is another one.
@@ -391,7 +391,7 @@
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
-def _replace_home(cell):
+def _replace_leader(cell):
     """Remove the home for good, and start an instance that was not there before."""
     cell.kill(cell.leader())
     cell.start_instance(f"b{len(cell.clocks)}")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -41,7 +41,7 @@
     return sum(n for (caller, to), n in cell.wire.calls.items() if caller == name and to[0] == "w")
 
 
-def _entry_with_payload(cell, step=STEP, **values):
+def _gateway_with_payload(cell, step=STEP, **values):
     """Submit a job at an instance that is not the home, and return the instance."""
     gateway = cell.other()
     answers = cell.submit(gateway, JOB, step, **values)
@@ -59,22 +59,22 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
+def test_leader_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
     """Its link and its processor bound the starts of the whole cell."""
     if not safeguard:
         monkeypatch.setattr(RelayDispatcher, "are_used", False)
     cell = _make_cell()
     before = _n_calls_to_workers(cell, cell.leader())
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
     assert (_n_calls_to_workers(cell, cell.leader()) == before) is safeguard
 
 
-def test_home_with_room_sends_its_starts_and_jobs_have_one_row():
+def test_leader_with_room_sends_its_starts_and_jobs_have_one_row():
     """What is cheaper where nothing is short stays as it is."""
     cell = make_cell(n_instances=5, n_workers=6)
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
     assert not any(
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("bytes_per_s", [250_000, 1_000_000])
-def test_link_that_is_in_use_has_orders_carried(bytes_per_s):
+def test_link_that_is_in_use_has_commands_carried(bytes_per_s):
     """A home on a wide link, too, once the share in use says that a burst would fill it."""
     cell = make_cell(n_instances=5, n_workers=6)
     context = cell.daemons[cell.leader()].context
@@ -101,7 +101,7 @@
 def test_row_of_a_job_leaves_out_its_payload_and_both_end_together():
     """A new home reads the rows of all jobs; payloads are most of their size."""
     cell = _make_cell()
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     part = job_part(JOB)
     assert "payload" not in cell.store.value("jobs", JOB, part=part)["spec"]
     assert cell.store.value("payloads", JOB, part=part) == "0.5 done 1000"
@@ -112,10 +112,10 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "pause", "cut from", "cut to", "restart"])
-def test_carrier_is_lost_between_its_order_and_the_start(fault):
+def test_relay_is_lost_between_its_command_and_the_start(fault):
     """Starts that it was told of are not lost, and none runs twice."""
     cell = _make_cell(n_workers=3)
-    gateway = _entry_with_payload(cell, STEP, spec="0.6 done 1000")
+    gateway = _gateway_with_payload(cell, STEP, spec="0.6 done 1000")
     leader = cell.leader()
     match fault:
         case "kill":
@@ -135,7 +135,7 @@
     assert cell.check() == []
 
 
-def test_steps_of_a_job_whose_entry_is_gone_start_from_the_payload_in_the_store():
+def test_steps_of_a_job_whose_gateway_is_gone_start_from_the_payload_in_the_store():
     """Another instance reads it: the job's row does not hold it, nor does the home."""
     cell = _make_cell()
     gateway = cell.other()
@@ -146,7 +146,7 @@
     assert _done(cell) == _names(2)
 
 
-def test_home_and_carrier_are_lost_together():
+def test_leader_and_relay_are_lost_together():
     """The next home knows neither the payload nor what was told to the carrier."""
     cell = _make_cell()
     gateway = cell.other()
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_order_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
+def test_command_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
     """A carrier that was paused finds orders that the home has long given up."""
     if not safeguard:
         monkeypatch.setattr(MessageAge, "note", lambda self, sent_at, received_at: 0.0)
@@ -196,11 +196,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_order_of_a_former_home_is_not_carried_out(monkeypatch, safeguard):
+def test_command_of_a_former_leader_is_not_carried_out(monkeypatch, safeguard):
     """Workers that the next home has not reached yet would take it."""
     cell = _make_cell()
     relay = cell.other()
-    _entry_with_payload(cell, spec="0.3 done 1000")
+    _gateway_with_payload(cell, spec="0.3 done 1000")
     cell.advance(1.0)
     context = cell.daemons[relay].context
     if not safeguard:
@@ -212,7 +212,7 @@
     assert (not cell.runs_of(command.task)) is safeguard
 
 
-def test_order_from_an_instance_that_is_not_the_home_is_not_carried_out():
+def test_command_from_an_instance_that_is_not_the_leader_is_not_carried_out():
     """A former home that has not noticed is connected for a while."""
     cell = _make_cell()
     relay = cell.other()
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("values", [{"verb": 99}, {"task": None}, {"address": None}])
-def test_malformed_order_is_dropped_and_counted(values):
+def test_malformed_command_is_dropped_and_counted(values):
     """A message that cannot be carried out must not end the part that takes it."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
@@ -258,7 +258,7 @@
 def test_outcomes_that_are_lost_cost_neither_tasks_nor_a_second_run():
     """The carrier acts and its answers do not reach the home."""
     cell = _make_cell(n_workers=3)
-    gateway = _entry_with_payload(cell, spec="0.6 done 1000")
+    gateway = _gateway_with_payload(cell, spec="0.6 done 1000")
     cell.network.silence(gateway, cell.leader())
     cell.advance(9.0)
     assert _done(cell) == _names()
@@ -282,7 +282,7 @@
     assert leader.dump()["jobs_without_payload"] == [JOB]
 
 
-def test_store_that_is_silent_does_not_stop_carriers_that_have_the_payload():
+def test_store_that_is_silent_does_not_stop_relays_that_have_the_payload():
     """Steps that follow begin in an outage of the store, too."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -292,15 +292,15 @@
     assert _names(2) <= {span.task for span in cell.spans}
 
 
-def _believe_carrier(self, answer, command, name):
+def _believe_relay(self, answer, command, name):
     return command.convert(raise_failed(answer))
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_carrier_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
+def test_relay_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
     """Its share of the workers would get no work, and what runs there would be started again."""
     if not safeguard:
-        monkeypatch.setattr(WorkerCallRouter, "_answered", _believe_carrier)
+        monkeypatch.setattr(WorkerCallRouter, "_answered", _believe_relay)
     cell = _make_cell(n_workers=8)
     for number in range(12):
         cell.submit(cell.leader(), f"{number:016x}", STEP, spec="6.0 done 1000")
@@ -338,7 +338,7 @@
     assert find_runs_after_cancelling(cell, acked_at) == []
 
 
-def test_instance_of_an_earlier_release_gets_whole_rows_and_no_orders(monkeypatch):
+def test_instance_of_an_earlier_release_gets_whole_rows_and_no_commands(monkeypatch):
     """In a rolling restart the home may not know rows without a payload."""
     cell = _make_cell()
     for daemon in cell.daemons.values():
@@ -351,23 +351,23 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_drawn_days_with_carriers(monkeypatch, seed):
+def test_drawn_days_with_relays(monkeypatch, seed):
     """Cancelled jobs, orders that go astray, homes and workers that are lost, as without them."""
     monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert DrawnDay(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_drawn_crashes_with_carriers(monkeypatch, seed):
+def test_drawn_crashes_with_relays(monkeypatch, seed):
     """Tasks that crash workers are counted as without them."""
     monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert CrashScenario(seed=seed).play() == []
 
 
-def test_orders_of_all_kinds_are_counted_by_route_and_outcome():
+def test_commands_of_all_kinds_are_counted_by_route_and_outcome():
     """An operator tells by them whether the home, a carrier or a worker binds."""
     cell = _make_cell()
-    gateway = _entry_with_payload(cell, spec="0.5 done 1000")
+    gateway = _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
     routes = cell.daemons[cell.leader()].context.meters.counts
     assert routes["routes", ("START", "carried")] == 4
--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -133,7 +133,7 @@
     return lambda rows, source: None if source == "feed" else take(rows, source)
 
 
-def test_home_with_an_older_configuration_goes_by_that_of_the_jobs_entry(monkeypatch):
+def test_leader_with_an_older_configuration_goes_by_that_of_the_jobs_gateway(monkeypatch):
     """An operator moves a queue to another service; a caller's job runs by the former one.
 
     The instance that took the job has the change, the home does not yet, as while its feed is
@@ -231,7 +231,7 @@
     assert cell.call("a1", "GET", "/urgent/")[0][0] == 200
 
 
-def test_configuration_that_is_not_understood_is_not_read_with_each_beat_of_the_home():
+def test_configuration_that_is_not_understood_is_not_read_with_each_beat_of_the_leader():
     """The home, of a newer release, has understood it, and says so five times a second."""
     cell = make_cell(n_instances=3)
     name, leader = cell.other(), cell.leader()
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_stops_is_followed_at_once_however_much_it_records(monkeypatch, safeguard):
+def test_leader_that_stops_is_followed_at_once_however_much_it_records(monkeypatch, safeguard):
     """Each of its records between a successor's reading and claim had the claim refused."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "CLAIM_TRIES", 1)
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -51,7 +51,7 @@
         for job_id in self.jobs:
             yield draw(0.0, 6.0), self._submit, job_id
         for _ in range(2):
-            yield draw(0.0, FAULTS_S), self._remove_home, None
+            yield draw(0.0, FAULTS_S), self._remove_leader, None
         for _ in range(3):
             yield draw(0.0, FAULTS_S), self._set_capacity, self._draw_address()
         at, address = draw(0.0, FAULTS_S), self._draw_address()
@@ -127,7 +127,7 @@
         alive = [worker for worker in self.cell.workers.values() if worker.alive]
         return next((worker for worker in alive if worker.address == address), None)
 
-    def _remove_home(self, _):
+    def _remove_leader(self, _):
         leader = self.cell.leader()
         if leader in self.cell.daemons:
             self.cell.kill(leader)
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -58,7 +58,7 @@
             yield at, self._submit, job_id
             yield at + draw(0.05, 4.0), self._cancel, job_id
         for _ in range(2):
-            yield draw(0.0, FAULTS_S), self._remove_home, None
+            yield draw(0.0, FAULTS_S), self._remove_leader, None
             worker_id = f"i-{self.random_state.randrange(N_WORKERS)}"
             at = draw(0.0, FAULTS_S - 1.0)
             yield at, self._darken, worker_id
@@ -105,7 +105,7 @@
         answers = self.cell.call(self._instance(), "DELETE", f"/urgent/{job_id}")
         self.calls[job_id] = (self.cell.clock.seconds(), answers)
 
-    def _remove_home(self, _):
+    def _remove_leader(self, _):
         if self.cell.leader() in self.cell.daemons:
             self.cell.kill(self.cell.leader())
 
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_task_runs_twice_where_the_home_alone_loses_the_store(seed):
+def test_no_task_runs_twice_where_the_leader_alone_loses_the_store(seed):
     """A task ran on two workers for 0.29 s, under the home without the store and the next one."""
     assert DayWithoutStore(seed=seed).play() == []
 
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -26,7 +26,7 @@
     return [span.began_at - at for span in cell.spans if span.began_at > at]
 
 
-def test_killed_home_is_replaced_within_half_a_second():
+def test_killed_leader_is_replaced_within_half_a_second():
     """The home is killed under load; another claims, hears the workers and starts what waits.
 
     Its connections close with it, so nobody has to wait for a silence.
@@ -48,7 +48,7 @@
     assert max(delays) < 1.0
 
 
-def test_home_that_falls_silent_is_replaced_before_leases_lapse():
+def test_leader_that_falls_silent_is_replaced_before_leases_lapse():
     """The home's machine loses power: connections stay open and say nothing."""
     cell = make_cell(n_instances=4)
     cell.submit("a1", JOB, STEP, spec="6.0 done 1000")
@@ -60,7 +60,7 @@
     assert cell.state(cell.other(), JOB) == "completed"
 
 
-def test_paused_home_that_wakes_starts_and_records_nothing():
+def test_paused_leader_that_wakes_starts_and_records_nothing():
     """The home is paused for four seconds; another takes over; then it wakes and goes on.
 
     Its row has moved on and the workers have seen a higher token, so it ends at its first write.
@@ -172,7 +172,7 @@
     assert cell.check() == []
 
 
-def test_late_writes_of_a_former_home_do_nothing():
+def test_late_writes_of_a_former_leader_do_nothing():
     """Each write of the home is carried out seconds later, when another home has gone on.
 
     The row has moved on by then, so that an old record never replaces a newer one.
@@ -191,7 +191,7 @@
     assert cell.check() == []
 
 
-def test_home_that_alone_is_refused_by_the_store_hands_over():
+def test_leader_that_alone_is_refused_by_the_store_hands_over():
     """The store serves all but the home: the home says so, and another claims."""
     cell = make_cell(n_instances=4)
     former = cell.leader()
@@ -207,7 +207,7 @@
     assert cell.check() == []
 
 
-def test_entry_without_store_accepts_through_the_home():
+def test_gateway_without_store_accepts_through_the_leader():
     """One instance is refused by the store: its clients are served all the same."""
     cell = make_cell(n_instances=3)
     name = cell.other()
@@ -219,7 +219,7 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_isolated_instance_leaves_a_living_home_alone():
+def test_isolated_instance_leaves_a_living_leader_alone():
     """An instance is cut off from all others but reaches the store: it must not take turns."""
     cell = make_cell(n_instances=4)
     leader, name = cell.leader(), cell.other()
@@ -234,7 +234,7 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_cancel_at_an_instance_that_does_not_reach_the_home():
+def test_cancel_at_an_instance_that_does_not_reach_the_leader():
     """The mark is durable, so the 2xx is true; the home finds it and stops the tasks."""
     cell = make_cell(n_instances=3)
     name = cell.other()
@@ -287,7 +287,7 @@
     assert len(cell.leaders()) == 1
 
 
-def test_drain_hands_the_home_over_and_cuts_nothing_off():
+def test_drain_hands_the_leader_over_and_cuts_nothing_off():
     """SIGTERM at the home: another takes over at once, calls are answered until the end."""
     cell = make_cell(n_instances=3)
     former = cell.leader()
@@ -327,7 +327,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_that_the_next_home_hears_of_late_is_not_started_again(monkeypatch, safeguard):
+def test_job_that_the_next_leader_hears_of_late_is_not_started_again(monkeypatch, safeguard):
     """A job is accepted while homes change: the former home starts it, the next one has read the
     table before.
 
@@ -385,7 +385,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_fault_in_the_home_part_does_not_leave_the_cell_without_a_home(monkeypatch, safeguard):
+def test_fault_in_the_leader_part_does_not_leave_the_cell_without_a_leader(monkeypatch, safeguard):
     """A decision raises at the home; the supervisor builds the part anew, which knows of nothing.
 
     The instance then looks for the home and claims again. Unless the part says that it has ended,
@@ -403,7 +403,7 @@
     assert (cell.state("a0", JOB) == "completed") is safeguard
 
 
-def test_fault_of_the_home_while_it_stores_a_job_is_no_refusal(monkeypatch):
+def test_fault_of_the_leader_while_it_stores_a_job_is_no_refusal(monkeypatch):
     """The home fails after it may have stored a job: its entry may not say that it was refused."""
     cell = make_cell(n_instances=2)
     name = cell.other()
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_is_cut_off_from_the_store_alone_is_known_to_the_next_home(
+def test_worker_that_is_cut_off_from_the_store_alone_is_known_to_the_next_leader(
     monkeypatch, safeguard
 ):
     """A worker does not reach the store: its entry lapses, its tasks run on under their leases.
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_cut_off_with_a_worker_lets_its_leases_end(monkeypatch, safeguard):
+def test_leader_that_is_cut_off_with_a_worker_lets_its_leases_end(monkeypatch, safeguard):
     """The home reaches neither store nor instances, but one worker that nobody else reaches.
 
     Another instance claims and waits until the leases that it cannot ask about have ended. Were
@@ -167,7 +167,7 @@
     assert (cell.check() == []) is safeguard
 
 
-def test_home_that_loses_the_store_alone_goes_on_ordering():
+def test_leader_that_loses_the_store_alone_goes_on_ordering():
     """In an outage for all, the home hears its workers: leases are renewed and steps follow."""
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, STEP, {**STEP, "after": [0]}, spec="4.0 done 1000")
@@ -177,7 +177,7 @@
     assert [span.how for span in cell.spans] == ["done"] * 8
 
 
-def test_home_that_was_paused_sends_no_lease_before_it_has_heard_of_anybody():
+def test_leader_that_was_paused_sends_no_lease_before_it_has_heard_of_anybody():
     """The home is paused for ten seconds, and with it the worker's tasks lapse; then it wakes.
 
     Its first holds carry no lease: another home may wait for the end of the last one meanwhile.
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_is_missing_stays_so_for_the_home_after_the_next(monkeypatch, safeguard):
+def test_worker_that_is_missing_stays_so_for_the_leader_after_the_next(monkeypatch, safeguard):
     """Entries lapse in an outage, the home dies, and so does the next one before they are back.
 
     The second of them knows from the row that workers are missing. Without that it would see a
@@ -286,7 +286,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_no_next_home_has_heard_is_handed_on(monkeypatch, safeguard):
+def test_worker_that_no_next_leader_has_heard_is_handed_on(monkeypatch, safeguard):
     """A worker has left the registry and runs on; it goes dark, and two homes are lost in a row.
 
     The first one named the worker in its row. The second has not heard it when it is lost, and has
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -55,7 +55,7 @@
     assert _silent_workers(cell) == ["i-0"]
 
 
-def test_home_that_no_worker_answers_sees_them_all_silent_in_time():
+def test_leader_that_no_worker_answers_sees_them_all_silent_in_time():
     """Cut off from all of them, it must not go on as if their answers were only late."""
     cell = make_cell(n_workers=6)
     _run_jobs(cell, 10, 1.0)
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -14,7 +14,7 @@
 N_MANY = 30
 
 
-def test_all_instances_find_a_new_home_at_once():
+def test_all_instances_find_a_new_leader_at_once():
     """The home of a large cell is killed; one instance claims, the others look for it.
 
     Only a claim has to wait for its turn. If looking waited, too, the last of thirty instances
@@ -143,7 +143,7 @@
     assert len(cell.spans) == 4
 
 
-def test_entry_that_is_refused_does_not_make_the_home_give_up():
+def test_gateway_that_is_refused_does_not_make_the_leader_give_up():
     """The store refuses the jobs of the home's own clients, and takes what the home writes.
 
     Such a refusal says that a part is full of jobs. Taken for an outage, it made the home offer
@@ -158,7 +158,7 @@
     assert cell.store.value("home", "home", part="cell")["term"] == term
 
 
-def test_instance_that_starts_beside_a_dark_home_finds_its_successor_at_once():
+def test_instance_that_starts_beside_a_dark_leader_finds_its_successor_at_once():
     """The home's machine is dark; all others start, and one of them claims within 0.4 s.
 
     An instance that waited for its connection to the dark one first would find the successor
@@ -196,7 +196,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_gives_a_slow_store_each_transaction_once(monkeypatch, safeguard):
+def test_leader_gives_a_slow_store_each_transaction_once(monkeypatch, safeguard):
     """Each call to the store takes 0.5 s from one moment to the next, while a job ends.
 
     The home reads its row while the answer is out, and the transaction goes on waiting. Sent again
@@ -238,7 +238,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 @pytest.mark.parametrize("kind", ["silent", "status"])
-def test_instances_cut_off_from_the_store_find_the_next_home(monkeypatch, kind, safeguard):
+def test_instances_cut_off_from_the_store_find_the_next_leader(monkeypatch, kind, safeguard):
     """The home and one more instance do not reach the store for some seconds; the others do.
 
     The next home's name stands in the store, which those two cannot read. They refused all jobs
--- a/anvilflow/cell/tests/test_registry.py
+++ b/anvilflow/cell/tests/test_registry.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_entry_overwritten_as_the_home_dies_hides_no_tasks(monkeypatch, safeguard):
+def test_entry_overwritten_as_the_leader_dies_hides_no_tasks(monkeypatch, safeguard):
     """A worker's entry is overwritten in the moment in which the home dies: no home has seen it.
 
     The next home cannot know where the worker is. It finds in the registry's history that an entry
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_late_is_waited_for(monkeypatch, safeguard):
+def test_leader_that_is_late_is_waited_for(monkeypatch, safeguard):
     """It tells how late it is, and the others wait for so much longer."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "LAG_TIMES", 0)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_late_does_not_take_the_store_for_away(monkeypatch, safeguard):
+def test_leader_that_is_late_does_not_take_the_store_for_away(monkeypatch, safeguard):
     """Answers of the store wait for their turn to be read, and the home offered its place."""
     if not safeguard:
         monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_loads_over_a_slow_link_is_not_taken_for_dead(monkeypatch, safeguard):
+def test_leader_that_loads_over_a_slow_link_is_not_taken_for_dead(monkeypatch, safeguard):
     """All instances that are left have slow links.
 
     It says that it lives to those that are connected, and writes so for the others.
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_instances_stay_connected_to_a_home_that_loads(monkeypatch, safeguard):
+def test_instances_stay_connected_to_a_leader_that_loads(monkeypatch, safeguard):
     """A home that only writes that it lives is left and dialled again, over a link that is full."""
     if not safeguard:
         monkeypatch.setattr(LeaderPart, "is_loading", False)
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_after_the_end_of_all_instances_is_on_a_fast_link(monkeypatch, safeguard):
+def test_leader_after_the_end_of_all_instances_is_on_a_fast_link(monkeypatch, safeguard):
     """All instances are killed at once and started again: nobody knows an order.
 
     Those on slow links hold back.
@@ -151,7 +151,7 @@
     assert (len(cell.leaders()) == 1) is safeguard
 
 
-def _home_that_one_instance_does_not_reach():
+def _leader_that_one_instance_does_not_reach():
     """Let a home die and its successor load; return the cell, the home and the former term."""
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
@@ -168,18 +168,18 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_homes_that_are_late_do_not_take_each_others_place_for_ever(monkeypatch, safeguard):
+def test_leaders_that_are_late_do_not_take_each_others_place_for_ever(monkeypatch, safeguard):
     """A home that is short of processor writes nothing for a while, and so does each after it."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
     monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
-    cell, _, term = _home_that_one_instance_does_not_reach()
+    cell, _, term = _leader_that_one_instance_does_not_reach()
     cell.advance(8.0)
     assert (len(cell.leaders()) == 1 and _term(cell) <= term + 3) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_loading_home_that_an_instance_does_not_reach_keeps_its_place(monkeypatch, safeguard):
+def test_loading_leader_that_an_instance_does_not_reach_keeps_its_place(monkeypatch, safeguard):
     """A successor on a slow link reads the rows of all jobs; one instance does not reach it.
 
     That one saw a row that stood still and claimed. It could not be reached either, and wrote
@@ -193,14 +193,14 @@
     if not safeguard:
         monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
-    cell, leader, term = _home_that_one_instance_does_not_reach()
+    cell, leader, term = _leader_that_one_instance_does_not_reach()
     cell.advance(5.0)
     assert (_term(cell) == term + 1) is safeguard
     assert (cell.leaders() == [leader]) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_loads_for_too_long_offers_its_place(monkeypatch, safeguard):
+def test_leader_that_loads_for_too_long_offers_its_place(monkeypatch, safeguard):
     """The link of a new home is squeezed to 5 kB a second just after its claim.
 
     Its answers never pause for long, so that its reading neither fails nor ends for half a minute.
@@ -223,7 +223,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_is_found_where_all_load_for_long(monkeypatch, safeguard):
+def test_leader_is_found_where_all_load_for_long(monkeypatch, safeguard):
     """All links are squeezed, and each home needs 25 s; a fixed limit would end them all."""
     if not safeguard:
         monkeypatch.setattr(_loading_heartbeat, "MAX_DOUBLINGS", 0)
@@ -264,7 +264,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_loads_over_links_on_which_answers_queue(monkeypatch, safeguard):
+def test_leader_loads_over_links_on_which_answers_queue(monkeypatch, safeguard):
     """The home dies; all links are narrow, and the rows of all jobs make 0.6 MB.
 
     A home reads 35 answers at once. Each waits for the windows of all others, so that some pause
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_loads_over_a_link_that_is_narrower_than_it_is_said_to_be(monkeypatch, safeguard):
+def test_leader_loads_over_a_link_that_is_narrower_than_it_is_said_to_be(monkeypatch, safeguard):
     """The same with settings that tell of fast links: the next tries read less at once."""
     if not safeguard:
         monkeypatch.setattr(_leader_state, "NEXT_TRY_SHARE", 1)
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -36,7 +36,7 @@
     return CellSettings(instance="a0", failure_domain="z", listen=listen, store="s:1", **values)
 
 
-def test_strongest_instance_on_a_link_that_bears_a_home_comes_first():
+def test_strongest_instance_on_a_link_that_bears_a_leader_comes_first():
     """Links of 20 and 200 Mbit/s both bear a home; one of 5 Mbit/s does not."""
     hellos = [
         make_hello("narrow", link_mbps=5, cpu_milli=4000),
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_after_the_end_of_all_instances_has_much_processor(monkeypatch, safeguard):
+def test_leader_after_the_end_of_all_instances_has_much_processor(monkeypatch, safeguard):
     """All instances are killed at once and started again: nobody knows an order."""
     if not safeguard:
         monkeypatch.setattr(_leader_eligibility, "MIN_LEADER_CPU_MILLI", 0)
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_late_gives_way_to_a_much_stronger_instance(monkeypatch, safeguard):
+def test_leader_that_is_late_gives_way_to_a_much_stronger_instance(monkeypatch, safeguard):
     """A weak instance became the home while it was alone; a strong one came, and then a burst.
 
     The home does all that it is asked to, late, until the end of the day, beside one that could
--- a/anvilflow/cell/tests/test_unreadable_rows.py
+++ b/anvilflow/cell/tests/test_unreadable_rows.py
@@ -12,7 +12,7 @@
 
 @pytest.mark.parametrize("value", UNREADABLE_VALUES)
 @pytest.mark.parametrize("table", ["jobs", "progress", "ended"])
-def test_new_home_serves_other_jobs_despite_an_unreadable_row(table, value):
+def test_new_leader_serves_other_jobs_despite_an_unreadable_row(table, value):
     """Guards against an unreadable row that stops each successive home."""
     cell = make_cell(n_instances=3)
     cell.submit("a0", OTHER_JOB, {"count": 1, "cpu": 1000}, spec="1.0 done 1000")
@@ -42,7 +42,7 @@
     assert len(cell.spans) == n_runs
 
 
-def test_unreadable_row_written_later_does_not_stop_the_home():
+def test_unreadable_row_written_later_does_not_stop_the_leader():
     """Guards against a home that fails on an unreadable update of the jobs table."""
     cell = make_cell(n_instances=3)
     leader = cell.leader()
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("n_more_homes", [0, 2])
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_tasks_that_ended_in_an_outage_are_not_started_by_a_home_that_knows_no_worker(
+def test_tasks_that_ended_in_an_outage_are_not_started_by_a_leader_that_knows_no_worker(
     monkeypatch, safeguard, n_more_homes
 ):
     """The store is away for nine seconds: two tasks end, which their home hears and cannot record.
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_that_is_done_before_the_next_home_hears_of_its_job_is_not_started_again(
+def test_task_that_is_done_before_the_next_leader_hears_of_its_job_is_not_started_again(
     monkeypatch, safeguard
 ):
     """A job is accepted while homes change: the former home starts it, the next one has read the
@@ -66,7 +66,7 @@
     cell.network.silence(gateway, leader)
     cell.submit(gateway, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(0.05)
-    _start_as_a_former_home_did(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
+    _start_as_a_former_leader_did(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
     cell.advance(0.2)
     scheduler = cell.daemons[leader].supervisor.part("home")._scheduler
     assert cell.spans[0].how == "done" and not scheduler.jobs
@@ -91,7 +91,7 @@
         cell.advance(0.005)
 
 
-def _start_as_a_former_home_did(cell, worker_id, task, payload):
+def _start_as_a_former_leader_did(cell, worker_id, task, payload):
     worker = cell.workers[worker_id]
     calls = cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions[worker_id].calls
     start = StartRun(
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_accepted_while_homes_change_is_not_started_beside_its_run_on_an_unheard_worker(
+def test_job_accepted_while_leaders_change_is_not_started_beside_its_run_on_an_unheard_worker(
     monkeypatch, safeguard
 ):
     """The store leaves the home alone, another instance claims, and then a job is accepted.
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_accepted_after_the_former_homes_orders_waits_for_no_unheard_worker(
+def test_job_accepted_after_the_former_leaders_commands_waits_for_no_unheard_worker(
     monkeypatch, safeguard
 ):
     """The home and a worker die together; 0.9 s after the take-over a job is accepted.
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_warm_tables.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_begins_at_once_after_the_loss_of_another(monkeypatch, safeguard):
+def test_leader_begins_at_once_after_the_loss_of_another(monkeypatch, safeguard):
     """Over a narrow link it read the rows of all jobs first, while leases ended."""
     if not safeguard:
         monkeypatch.setattr(StandbyTablesPart, "is_complete", False)
@@ -37,7 +37,7 @@
     assert (len(cell.leaders()) == 1) is safeguard
 
 
-def test_only_the_next_homes_follow_and_only_where_reading_takes_long():
+def test_only_the_next_leaders_follow_and_only_where_reading_takes_long():
     """Each follower reads all that is written."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_orders_of_a_former_home_that_arrive_late_do_nothing(monkeypatch, safeguard):
+def test_commands_of_a_former_leader_that_arrive_late_do_nothing(monkeypatch, safeguard):
     """The home's starts are on their way when it dies; another home starts the tasks elsewhere.
 
     Then the old orders arrive. They carry the former home's token, and the worker has seen a higher
@@ -77,7 +77,7 @@
         assert cell.state("a0", JOB) == "completed"
 
 
-def test_new_life_at_an_old_address_gets_no_orders_of_the_old_one():
+def test_new_life_at_an_old_address_gets_no_commands_of_the_old_one():
     """A worker crashes and starts again under another id: what ran there starts elsewhere."""
     cell = make_cell(n_instances=2, n_workers=2)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="5.0 done 9000")
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -295,7 +295,7 @@
 
 
 @pytest.mark.parametrize(("taken_over_at", "state"), [(1.0, "failed"), (5.0, "running")])
-def test_next_home_counts_an_early_crash_only_under_a_recent_start(taken_over_at, state):
+def test_next_leader_counts_an_early_crash_only_under_a_recent_start(taken_over_at, state):
     """Guards against losing the crash count on a takeover and failing a job for a late crash."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -315,7 +315,7 @@
     assert is_failed is (state == "failed")
 
 
-def test_recorded_start_that_no_worker_confirmed_is_no_evidence_for_the_next_home():
+def test_recorded_start_that_no_worker_confirmed_is_no_evidence_for_the_next_leader():
     """Guards against blaming a task for a worker that had failed before the start reached it."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
--- a/anvilflow/jobs/tests/test_grace_period.py
+++ b/anvilflow/jobs/tests/test_grace_period.py
@@ -3,7 +3,7 @@
 from anvilflow.jobs import COMMAND_S, GracePeriod
 
 
-def test_job_that_was_accepted_before_the_orders_of_former_homes_were_over_may_have_begun():
+def test_job_that_was_accepted_before_the_commands_of_former_leaders_were_over_may_have_begun():
     """Jobs are told apart by the version of their rows, however late this home hears of them."""
     grace_period = GracePeriod(term=2, lease_s=3.0, now=0.0, n_workers=3)
     grace_period.row_written(10, 0.1)
@@ -16,7 +16,7 @@
     assert not grace_period.may_have_begun(31)
 
 
-def test_first_home_has_no_former_one():
+def test_first_leader_has_no_former_one():
     """No order was ever sent before it."""
     grace_period = GracePeriod(term=1, lease_s=3.0, now=5.0)
     assert not grace_period.may_have_begun(1)
--- a/anvilflow/jobs/tests/test_unknown_tasks.py
+++ b/anvilflow/jobs/tests/test_unknown_tasks.py
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("is_cancelled", [False, True])
-def test_end_of_an_occurrence_that_is_not_due_yet_by_this_homes_clock_is_kept(is_cancelled):
+def test_end_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_kept(is_cancelled):
     """The former home's clock is ahead of the next one's: it has begun an occurrence of a job.
 
     To the next home the occurrence is not due for a second. Were the end forgotten, the task would
@@ -147,7 +147,7 @@
     return [action for action in actions if isinstance(action, StartRun)]
 
 
-def test_run_of_an_occurrence_that_is_not_due_yet_by_this_homes_clock_is_taken_on():
+def test_run_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_taken_on():
     """The former home's clock is 0.5 s ahead, and a task that it began early still runs.
 
     To stop it would throw its work away; a moment later the occurrence is due here, too.
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -120,7 +120,7 @@
     )
 
 
-def _play_end_of_home(n_instances, end, what):
+def _play_end_of_leader(n_instances, end, what):
     cell = _make_cell(n_instances)
     for number in range(N_STORED):
         _submit(cell, number)
@@ -162,8 +162,8 @@
         for jobs_per_s in OFFERED_PER_S:
             _play_backlog(size, jobs_per_s)
         if size > 1:
-            _play_end_of_home(size, lambda cell, name: cell.kill(name), "the home's loss")
-            _play_end_of_home(
+            _play_end_of_leader(size, lambda cell, name: cell.kill(name), "the home's loss")
+            _play_end_of_leader(
                 size, lambda cell, name: cell.daemons[name].drain(), "the home's SIGTERM"
             )
 
