--- a/anvilflow/cell/_config.py
+++ b/anvilflow/cell/_config.py
@@ -11,7 +11,7 @@
 
 #: Part of the time in which a change must be in force after which a reading of the feed without an
 #: answer is given up: its connection may have gone silent just as the reading began. What is left
-#: is for reading anew. The home's hints do not help where its own feed is silent, too.
+#: is for reading anew. The leader's hints do not help where its own feed is silent, too.
 GIVE_UP_SHARE = 0.7
 
 #: The part of it that the answer may take once the wait is over; the rest is how long a reading
@@ -92,7 +92,7 @@
 
         The feed's connection may have gone silent. If its answer is arriving, a second one would
         halve the bandwidth of the first: on slow links both then came too late. And if what the
-        store has is not understood here, it would be read again with each beat of the home.
+        store has is not understood here, it would be read again with each beat of the leader.
         """
         config = self.context.config
         is_news = config is None or version > config.version
--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -11,7 +11,7 @@
 from ._pending_jobs import PendingJobs
 from ._start_delays import StartDelays
 
-#: Period in which each instance measures how late it is: that of a home's beats. Unit: seconds.
+#: Period in which each instance measures how late it is: that of a leader's beats. Unit: seconds.
 LAG_PERIOD_S = 0.2
 
 
@@ -22,22 +22,22 @@
 
 
 class LeaderChanged(Struct, kw_only=True):
-    """The cell has another home, as this instance sees it."""
+    """The cell has another leader, as this instance sees it."""
 
 
 class Claimed(Struct, kw_only=True):
-    """This instance has become the home.
+    """This instance has become the leader.
 
     Parameters
     ----------
     token : int
-        Version of the home's row that the claim got: unique, and higher than every one before.
+        Version of the leader's row that the claim got: unique, and higher than every one before.
     term : int
-        How many homes there were, this one included.
+        How many leaders there were, this one included.
     row_version : int
         Version of the row at present.
     former : LeaderRow or None
-        What the former home said of itself and of its workers.
+        What the former leader said of itself and of its workers.
     """
 
     token: int
@@ -47,7 +47,7 @@
 
 
 class Deposed(Struct, kw_only=True):
-    """Another instance has become the home."""
+    """Another instance has become the leader."""
 
 
 class StoreRecovered(Struct, kw_only=True):
@@ -82,8 +82,8 @@
 
     Notes
     -----
-    `successors` are the instances that come next as the home, in their order. `uses_relays` tells
-    whether the home has its orders to workers carried out by other instances, as far as this one
+    `successors` are the instances that come next as the leader, in their order. `uses_relays` tells
+    whether the leader has its orders to workers carried out by other instances, as far as this one
     knows.
     """
 
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -1,4 +1,4 @@
-"""The home's sessions with all workers: what goes out to them and what comes back."""
+"""The leader's sessions with all workers: what goes out to them and what comes back."""
 
 from ..decisions import RetryBudget, RoundTrip, RoundTripSettings
 from ..exceptions import PayloadGoneError
@@ -8,12 +8,12 @@
 from ._start_queue import StartQueue
 from ._worker_call_router import WorkerCallRouter
 
-#: Length of the leases that are sent. Renewals come each half second; a take-over from a home that
-#: fell silent takes about 1 s, a start of all instances after a loss of power 2 s. A longer lease
-#: would keep tasks of a lost worker waiting for longer. Unit: seconds.
+#: Length of the leases that are sent. Renewals come each half second; a take-over from a leader
+#: that fell silent takes about 1 s, a start of all instances after a loss of power 2 s. A longer
+#: lease would keep tasks of a lost worker waiting for longer. Unit: seconds.
 LEASE_S = 3.0
 
-#: Longest wait of a hold while the home is short of processor. Holds, with news or without, were
+#: Longest wait of a hold while the leader is short of processor. Holds, with news or without, were
 #: some 1,090 of its 2,012 calls in a profile of ten seconds. Two of these and the lag stay within a
 #: lease. Unit: seconds.
 SHORT_RENEWAL_WAIT_S = 1.0
@@ -103,21 +103,22 @@
     def _now(self):
         return self.context.clock.seconds()
 
-    # Whether this is the home
+    # Whether this is the leader
 
     def confirm(self, at):
-        """Note that a call that was sent at `at` showed that this is the home."""
+        """Note that a call that was sent at `at` showed that this is the leader."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def is_confirmed(self):
-        """Whether the store has shown a moment ago that this is the home."""
+        """Whether the store has shown a moment ago that this is the leader."""
         return self._now() - self.confirmed_at <= COMMAND_S
 
     def may_send_commands(self):
         """Whether starts and leases may be sent.
 
-        A home that was paused or is cut off must not prolong leases whose end another home waits
-        for. In an outage of the store, more than half of the workers tell that there is no other.
+        A leader that was paused or is cut off must not prolong leases whose end another leader
+        waits for. In an outage of the store, more than half of the workers tell that there is no
+        other.
         """
         if self.is_confirmed():
             return True
@@ -128,7 +129,7 @@
     def renewal_wait(self):
         """Return how long a hold may wait.
 
-        Shorter where only workers can confirm the home; longer where it is short of processor.
+        Shorter where only workers can confirm the leader; longer where it is short of processor.
         """
         if not self.is_confirmed():
             return RENEWAL_WAIT_S / 2
@@ -252,7 +253,7 @@
             self.log.info("worker drains", worker=info.worker_id, left_s=info.leaves_in_s)
 
     def take_handover(self, handover):
-        """Take on a worker of which the former home had to tell, perhaps unregistered by now."""
+        """Take on a worker of which the former leader had to tell, perhaps unregistered by now."""
         info = handover.info
         if info.worker_id not in self.scheduler.workers:
             self.scheduler.worker_listed(info, self._now())
@@ -281,8 +282,8 @@
     def _registry_entry_unlisted(self, worker_id):
         """Give a worker no new work: its entry is gone, or names no worker any more.
 
-        What runs there is held on. The home's row names it for the next home, as it does workers
-        that have left.
+        What runs there is held on. The leader's row names it for the next leader, as it does
+        workers that have left.
         """
         if worker_id not in self.scheduler.workers or worker_id in self._unlisted:
             return
@@ -392,7 +393,7 @@
         self.events.changed()
 
     def fenced(self, worker_id):
-        """A worker has seen a higher token: another home has begun."""
+        """A worker has seen a higher token: another leader has begun."""
         self.log.warning("fenced by a worker", worker=worker_id, token=self.token)
         self.events.deposed()
 
--- a/anvilflow/cell/_follower.py
+++ b/anvilflow/cell/_follower.py
@@ -5,7 +5,7 @@
 
 from ..exceptions import PlatformError, RevisionGoneError
 
-#: Pause between readings after the beginning of a home, and for how long. Instances that have not
+#: Pause between readings after the beginning of a leader, and for how long. Instances that have not
 #: found it yet cannot tell it of the jobs that they accept: a lookup waited for up to a second.
 #: Unit: seconds.
 QUICK_PAUSE_S = 0.1
--- a/anvilflow/cell/_garbage_collector.py
+++ b/anvilflow/cell/_garbage_collector.py
@@ -35,7 +35,7 @@
 
 
 class GarbageCollector:
-    """Keeps the tables, and the home's memory, from growing with all jobs that were ever accepted.
+    """Keeps the tables, and the leader's memory, from growing with all jobs that were accepted.
 
     Parameters
     ----------
@@ -46,8 +46,8 @@
     Notes
     -----
     The row of the job goes first. Without it a late copy of the job would be accepted anew; without
-    the final state the job would seem to run. For the same reason the home remembers that a job has
-    ended until its row is gone: one that it had forgotten would be taken on and run once more.
+    the final state the job would seem to run. For the same reason the leader remembers that a job
+    has ended until its row is gone: one that it had forgotten would be taken on and run once more.
     """
 
     def __init__(self, *, context, on_removed):
@@ -63,7 +63,7 @@
     def shorten(self, job):
         """Replace the row of a job that has ended by a short one with the next sweep.
 
-        A new home reads the rows of all jobs of the last two minutes, most of which have ended.
+        A new leader reads the rows of all jobs of the last two minutes, most of which have ended.
         """
         if has_payload(job.spec) and len(job.spec.payload) >= MIN_PAYLOAD_BYTES:
             self._long.setdefault(job_part(job.job_id), []).append(job)
--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -26,14 +26,14 @@
 from ._recorder import answer_timeout
 from ._tables import MAX_ROW_BYTES, JobRow, without_payload
 
-#: Wait for the home's answer before the store is asked instead. The home answers in a few
+#: Wait for the leader's answer before the store is asked instead. The leader answers in a few
 #: milliseconds or is changing. Unit: seconds.
 LEADER_TIMEOUT_S = 0.4
 
-#: Wait for the home to store a job that this instance could not store. Unit: seconds.
+#: Wait for the leader to store a job that this instance could not store. Unit: seconds.
 SUBMIT_TIMEOUT_S = 0.9
 
-#: Wait for the home to make a cancelling durable. Unit: seconds.
+#: Wait for the leader to make a cancelling durable. Unit: seconds.
 CANCEL_TIMEOUT_S = 1.2
 
 #: When a client that was refused in an outage should come back: after a third of the time that the
@@ -43,7 +43,7 @@
 MIN_RETRY_AFTER_S = 1
 MAX_RETRY_AFTER_S = 10
 
-#: What the home's answers to a submit mean; every other one leaves the job in doubt.
+#: What the leader's answers to a submit mean; every other one leaves the job in doubt.
 _SUBMIT_OUTCOMES = {"ok": "ok", "refused": "refused", "not home": "refused"}
 
 #: Verbs that are counted under their own name: a client may send any text.
@@ -51,7 +51,7 @@
 
 _STATE_NAMES = frozenset(map(str, JobState))
 
-#: Time without the store and without the home after which the balancer is told to send no new
+#: Time without the store and without the leader after which the balancer is told to send no new
 #: connections: this instance alone is cut off, others serve. Unit: seconds.
 CUT_OFF_S = 0.5
 
@@ -107,7 +107,7 @@
         self._listen(listen.ready, ready)
         self._front_port = self._listen(listen.front, front)
         self.on(LeaderChanged, lambda *_: self._tell_again())
-        # A home reads the rows of all jobs when it begins.
+        # A leader reads the rows of all jobs when it begins.
         self.on(Claimed, lambda *_: self._untold.clear())
         self.log.info("listening to clients", address=listen.front)
 
@@ -157,7 +157,7 @@
     @inlineCallbacks
     def submit(self, spec, queue):
         """Accept a job durably; AF302 says it certainly was not, AF305 that it may have been."""
-        # The home then sends none of the starts itself, and need not hold the payload.
+        # The leader then sends none of the starts itself, and need not hold the payload.
         gateway = self.context.name if self.context.uses_relays else ""
         value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
@@ -259,7 +259,7 @@
             self._untold.pop(job_id, None)
 
     def _tell_again(self):
-        """Tell a new home of the jobs that the former one may not have heard of.
+        """Tell a new leader of the jobs that the former one may not have heard of.
 
         It finds them in its feed, too, but up to a second later.
         """
@@ -273,7 +273,7 @@
 
     @inlineCallbacks
     def _submit_at_leader(self, value):
-        """Let the home store a job; return ok, refused (certainly not stored) or unsure."""
+        """Let the leader store a job; return ok, refused (certainly not stored) or unsure."""
         if self.context.leader is not None:
             return "refused"
         try:
@@ -332,7 +332,7 @@
     def pending(self, queue):
         """Return how many of a queue's jobs have not begun.
 
-        A queue of the configuration is served whether there is a home or not: its loss must not
+        A queue of the configuration is served whether there is a leader or not: its loss must not
         look like a queue that is not known.
         """
         waiting = self.context.waiting
@@ -346,9 +346,9 @@
 
     @inlineCallbacks
     def _pending_at_leader(self, queue):
-        """Ask the home; return None where that does not tell.
+        """Ask the leader; return None where that does not tell.
 
-        A home of an earlier release does not tell by itself what waits.
+        A leader of an earlier release does not tell by itself what waits.
         """
         try:
             reply = yield self._ask("pending", "", queue.name)
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -1,4 +1,4 @@
-"""Rows of jobs, as the home takes them on."""
+"""Rows of jobs, as the leader takes them on."""
 
 from ..exceptions import PlatformError
 from ..jobs import EndedJob, JobRecord, JobState
@@ -41,7 +41,7 @@
         return self.context.clock.seconds()
 
     def take_over(self, state):
-        """Take on what the store has when a home begins; return the stops that follow.
+        """Take on what the store has when a leader begins; return the stops that follow.
 
         Parameters
         ----------
@@ -77,7 +77,7 @@
         """Return a row's decoded value, or None if it cannot be decoded.
 
         The job of such a row is not run: without the row's content, tasks that are already done
-        could run again. An exception here would stop each successive home on the same row.
+        could run again. An exception here would stop each successive leader on the same row.
         """
         try:
             value = decode(row.value, value_type, error=PlatformError)
@@ -92,7 +92,7 @@
 
     def _add_row(self, row, record):
         if self.scheduler.has_job(row.key):
-            # Most rows that a home reads when it begins are of jobs that have ended.
+            # Most rows that a leader reads when it begins are of jobs that have ended.
             self.known_up_to(row.version)
             return
         is_unreadable = row.key in self._unreadable_job_ids
--- a/anvilflow/cell/_job_store.py
+++ b/anvilflow/cell/_job_store.py
@@ -151,7 +151,7 @@
     """Return a job's :class:`JobState` and its row as the store has them, or (None, None).
 
     A job that is marked as cancelled has no row here, and has not ended: its last task may end
-    before the home reads the mark, and then it is completed. A caller was shown both.
+    before the leader reads the mark, and then it is completed. A caller was shown both.
     """
     ended = yield store.read_row(ENDED, PART, job_id)
     if ended is not None:
@@ -166,7 +166,7 @@
 
 @inlineCallbacks
 def cancel_stored_job(store, job_id):
-    """Mark a job as cancelled without its home; return False when there is no such job."""
+    """Mark a job as cancelled without its leader; return False when there is no such job."""
     state, row = yield read_stored_job(store, job_id)
     if row is not None:
         part = job_part(job_id)
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -1,4 +1,4 @@
-"""The home of the cell: runs the scheduler, talks to the workers, answers about jobs."""
+"""The leader of the cell: runs the scheduler, talks to the workers, answers about jobs."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -35,31 +35,31 @@
 #: to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
 PLAN_S = 0.05
 
-#: Time that changes are gathered for one plan at a home that is short of link or processor. Unit:
+#: Time that changes are gathered for one plan at a leader that is short of link or processor. Unit:
 #: seconds.
 SHORT_PLAN_S = 0.01
 
-#: Pause between readings of the accepted jobs. Entries tell the home of them at once; the feed
+#: Pause between readings of the accepted jobs. Entries tell the leader of them at once; the feed
 #: finds those whose entry died before it could. Unit: seconds.
 JOBS_FEED_S = 1.0
 
 #: Longest wait of one reading of the workers' entries. Unit: seconds.
 WORKERS_FEED_S = 2.0
 
-#: Silence of the store, for this instance alone, after which the home offers its place to another.
-#: Unit: seconds.
+#: Silence of the store, for this instance alone, after which the leader offers its place to
+#: another. Unit: seconds.
 STORE_BAD_S = 0.1
 
 #: Time for which each plan has to leave starts to a later one before entries are told how long new
 #: jobs wait: a burst that is over sooner makes nobody late. Unit: seconds.
 DEFERRED_S = 1.0
 
-#: Wait before a home that could not read its tables reads them again. Unit: seconds.
+#: Wait before a leader that could not read its tables reads them again. Unit: seconds.
 _AGAIN_S = 0.3
 
 
 class LeaderPart(Part):
-    """Exists idle in every instance; after a claim it is the home until it is deposed."""
+    """Exists idle in every instance; after a claim it is the leader until it is deposed."""
 
     prefix = "home"
 
@@ -93,10 +93,10 @@
         self.every(SWEEP_S, self._sweep, delay=SWEEP_S)
 
     def stop(self):
-        """Give up being home.
+        """Give up being leader.
 
         A part that is restarted after a fault has forgotten that it was. Said here, this instance
-        looks for the home again; else it would wait for itself for ever.
+        looks for the leader again; else it would wait for itself for ever.
         """
         was_leader = self._claimed is not None
         self._end()
@@ -241,7 +241,7 @@
         return self._garbage_collector.sweep() if self._garbage_collector is not None else None
 
     def deposed(self):
-        """Another home has begun."""
+        """Another leader has begun."""
         self.post(Deposed())
 
     def _end(self):
@@ -278,13 +278,13 @@
     # Telling the others
 
     def measure_load(self):
-        """Note whether this instance is short of link or processor, as the home."""
+        """Note whether this instance is short of link or processor, as the leader."""
         if self._relay_dispatcher is not None:
             self._relay_dispatcher.measure()
             self.context.uses_relays = self._relay_dispatcher.are_used
 
     def heartbeat(self):
-        """Return what the home says of itself and of what waits."""
+        """Return what the leader says of itself and of what waits."""
         return self._leader_heartbeat.full_heartbeat()
 
     def waiting(self):
@@ -301,19 +301,19 @@
 
     @property
     def term(self):
-        """How many homes there were, this one included; 0 where this is none."""
+        """How many leaders there were, this one included; 0 where this is none."""
         return self._claimed.term if self._claimed else 0
 
     @property
     def is_store_unavailable(self):
-        """Whether the store has not answered the home's own calls for a while."""
+        """Whether the store has not answered the leader's own calls for a while."""
         return self._recorder is not None and self._recorder.reach.bad_for_s > STORE_BAD_S
 
     @property
     def is_loading(self):
         """Whether this instance has claimed and still reads what lasts.
 
-        It says so: a home on a slow link that was silent meanwhile was taken for dead, and its
+        It says so: a leader on a slow link that was silent meanwhile was taken for dead, and its
         successor after it. One that cannot read its tables offers its place.
         """
         return self._claimed is not None and not self._loaded
@@ -381,7 +381,7 @@
     def changed(self):
         """Plan in this turn of the reactor, once for all that changes in it.
 
-        A home that is short of processor plans once for what changes in some turns.
+        A leader that is short of processor plans once for what changes in some turns.
         """
         if self._planned is None and self._scheduler is not None:
             self._planned = self.later(SHORT_PLAN_S if self.context.uses_relays else 0, self._plan)
--- a/anvilflow/cell/_leader_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -1,4 +1,4 @@
-"""What the home answers to entries."""
+"""What the leader answers to entries."""
 
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
@@ -10,7 +10,7 @@
 
 
 class LeaderCalls:
-    """Answers the calls of entries during one term of the home.
+    """Answers the calls of entries during one term of the leader.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
         self._cancelling = {}
 
     def close(self):
-        """Answer all that wait: this is not the home any more."""
+        """Answer all that wait: this is not the leader any more."""
         self.closed = True
         cancelling, self._cancelling = self._cancelling, {}
         for done in [done for each in cancelling.values() for done in each]:
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -1,16 +1,16 @@
-"""What the home tells the other instances of itself."""
+"""What the leader tells the other instances of itself."""
 
 from ..peers.gen.ttypes import HomeBeat
 from ._leader_eligibility import should_yield
 from ._pending_jobs import PENDING_HEARTBEAT_S
 
-#: Least time for which a home keeps its place before it gives way to a stronger instance: what its
-#: beginning costs is over by then. Unit: seconds.
+#: Least time for which a leader keeps its place before it gives way to a stronger instance: what
+#: its beginning costs is over by then. Unit: seconds.
 MIN_LEADERSHIP_S = 3.0
 
 
 class LeaderHeartbeat:
-    """Tells that the home lives, who should follow it, and whether one should now.
+    """Tells that the leader lives, who should follow it, and whether one should now.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
         self._counted_at = float("-inf")
 
     def heartbeat(self):
-        """Return what the home says of itself."""
+        """Return what the leader says of itself."""
         config = self.context.config
         links = self.context.links
         return HomeBeat(
@@ -43,7 +43,7 @@
         )
 
     def full_heartbeat(self):
-        """Return the same with what waits; kept here as well, for when another is the home."""
+        """Return the same with what waits; kept here as well, for when another is the leader."""
         waiting = self.leader.waiting()
         self.context.waiting.told(waiting)
         waits = self.leader.start_waits()
--- a/anvilflow/cell/_leader_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -1,4 +1,4 @@
-"""What a new home reads of the store before it decides anything."""
+"""What a new leader reads of the store before it decides anything."""
 
 from functools import partial
 
@@ -19,8 +19,8 @@
 
 #: Bandwidth that each of them needs. Their answers queue on the link window by window, and one of
 #: which nothing arrives for 0.8 s is given up: a window of 16 kB takes 0.5 s over this. Over
-#: 2 Mbit/s 35 answers of 0.7 MB in all waited for each other until all were given up, and 17 homes
-#: in a row loaded in vain. Unit: Mbit/s.
+#: 2 Mbit/s 35 answers of 0.7 MB in all waited for each other until all were given up, and 17
+#: leaders in a row loaded in vain. Unit: Mbit/s.
 MBPS_PER_READING = 0.25
 
 #: Part of the readings that a further try has under way, after one that failed: the link may be
@@ -29,14 +29,14 @@
 
 
 def readings_at_once(link_mbps, n_failed):
-    """Return how many readings a home should have under way over its link.
+    """Return how many readings a leader should have under way over its link.
 
     Parameters
     ----------
     link_mbps : float or None
         Of this instance; None: not known. Unit: Mbit/s.
     n_failed : int
-        Tries to load in a row that have failed, here and by homes before.
+        Tries to load in a row that have failed, here and by leaders before.
 
     Examples
     --------
@@ -54,8 +54,8 @@
 class StoredState(Struct, kw_only=True):
     """Rows of the tables, each with the version to follow it from.
 
-    `missing` are the workers that have left the registry since the former home wrote about it; None
-    when that is no longer known.
+    `missing` are the workers that have left the registry since the former leader wrote about it;
+    None when that is no longer known.
     """
 
     jobs: list[Row]
@@ -75,7 +75,7 @@
     ----------
     store : StoreClient
     former : LeaderRow or None
-        The former home's row; None: there was none.
+        The former leader's row; None: there was none.
     config : CellConfig, default=None
         Names the services whose entries count.
     at_once : int
@@ -115,10 +115,10 @@
 def find_missing(store, former, config=None):
     """Return the ids of workers that have left since, or None when that is no longer known.
 
-    Entries lapse while the store is away, and the home that holds the workers cannot say so: their
-    tasks run on, on workers that the next home would not even look for. An entry that another
-    program has overwritten does not say where its worker is, either. One that the former home knew
-    to name no worker is nobody's.
+    Entries lapse while the store is away, and the leader that holds the workers cannot say so:
+    their tasks run on, on workers that the next leader would not even look for. An entry that
+    another program has overwritten does not say where its worker is, either. One that the former
+    leader knew to name no worker is nobody's.
     """
     if former is None:
         return frozenset()
@@ -138,7 +138,7 @@
 
 
 def make_scheduler(context, claimed, missing):
-    """Return the :class:`Scheduler` of a home that begins.
+    """Return the :class:`Scheduler` of a leader that begins.
 
     Parameters
     ----------
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -1,4 +1,4 @@
-"""Which instance is the home of the cell, and when another takes over."""
+"""Which instance is the leader of the cell, and when another takes over."""
 
 from twisted.internet.defer import gatherResults, inlineCallbacks
 from twisted.internet.task import deferLater
@@ -14,27 +14,28 @@
 from ._pending_result import PendingResult
 from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
 
-#: Period of looking at the home. Unit: seconds.
+#: Period of looking at the leader. Unit: seconds.
 LOOK_S = 0.1
 
-#: Silence of the home after which it is suspected: two of its beats and their way. Shorter silences
-#: come from a busy processor: the tenth of a second that a quota can take away. Unit: seconds.
+#: Silence of the leader after which it is suspected: two of its beats and their way. Shorter
+#: silences come from a busy processor: the tenth of a second that a quota can take away. Unit:
+#: seconds.
 UNRESPONSIVE_S = 0.5
 
-#: Times the lag of which a home tells that it is waited for beyond what any other one is. One with
-#: an eighth of a core fell behind in a burst and was taken for dead, and so was each after it.
+#: Times the lag of which a leader tells that it is waited for beyond what any other one is. One
+#: with an eighth of a core fell behind in a burst and was taken for dead, and so was each after it.
 LAG_TIMES = 3
 
-#: Least time between two readings of the home's row after which a row that has not changed tells
+#: Least time between two readings of the leader's row after which a row that has not changed tells
 #: that its holder does not write: twice the period of its writes. Unit: seconds.
 STILL_S = 0.3
 
-#: The same in readings of the row: where the store is slow the home's writes take as much longer.
+#: The same in readings of the row: where the store is slow the leader's writes take as much longer.
 STILL_READS = 3
 
 #: Doublings of the time for which a row may stand still, at the most: one for each claim in a row
-#: after which no home has begun. Where each home is late as soon as it has read its tables, all of
-#: them took each other's place for as long as there was load.
+#: after which no leader has begun. Where each leader is late as soon as it has read its tables, all
+#: of them took each other's place for as long as there was load.
 MAX_DOUBLINGS = 3
 
 #: Steps by which the successors hold back, so that the first one's claim is done before the next
@@ -42,10 +43,10 @@
 RANK_STEP_S = 0.06
 
 #: The same in readings of the row: where the store is slow a claim takes two of them, and claims of
-#: all instances at once would fill the part of the store that the home itself writes to.
+#: all instances at once would fill the part of the store that the leader itself writes to.
 RANK_STEP_READS = 2
 
-#: How long an instance that bears a home badly holds back where it does not know the order, as
+#: How long an instance that bears a leader badly holds back where it does not know the order, as
 #: after the end of all instances: the others need a few tenths of a second more or less to start,
 #: also where the store is slow. Unit: seconds.
 WEAK_S = 0.48
@@ -58,29 +59,29 @@
 CLAIM_READS = 6
 CLAIM_TIMEOUT_S = 0.8
 
-#: Claims in a row of the place of a home that yields. It records ends until it is deposed, and each
-#: record between the reading of its row and the claim had the claim refused: the home of a rolling
-#: restart kept its place for 3.6 s, until it stopped.
+#: Claims in a row of the place of a leader that yields. It records ends until it is deposed, and
+#: each record between the reading of its row and the claim had the claim refused: the leader of a
+#: rolling restart kept its place for 3.6 s, until it stopped.
 CLAIM_TRIES = 8
 
 #: Shorter waits than this are over: the clock does not tell them from none. Unit: seconds.
 _TICK_S = 1e-4
 
-#: Longest wait for a connection to the home; it doubles with each that comes too late, since a home
-#: that is late has the more to do the more often it is dialled. Unit: seconds.
+#: Longest wait for a connection to the leader; it doubles with each that comes too late, since a
+#: leader that is late has the more to do the more often it is dialled. Unit: seconds.
 MAX_DIAL_S = 1.6
 
-#: Wait before the store or an unreachable home is tried again. Unit: seconds.
+#: Wait before the store or an unreachable leader is tried again. Unit: seconds.
 AGAIN_S = 0.3
 
 
 class LeadershipPart(Part):
-    """Follows the home, and claims its row when it is gone.
+    """Follows the leader, and claims its row when it is gone.
 
-    Safety rests on the row and on the workers: every write of the home is made on the condition
+    Safety rests on the row and on the workers: every write of the leader is made on the condition
     that the row is as it left it, and every worker refuses orders under a token lower than one it
     has seen. When to claim is a guess, and a wrong one costs a take-over, no more. Two instances
-    that cannot see each other would take turns; therefore a home that is not reached, but goes on
+    that cannot see each other would take turns; therefore a leader that is not reached, but goes on
     writing its row, is left alone.
     """
 
@@ -101,13 +102,13 @@
         self._dial_s = DIAL_TIMEOUT_S
 
     def start(self):
-        """Look for the home."""
+        """Look for the leader."""
         self.on(HomeBeat, self._heartbeat)
         self.on(LeaderLinkLost, lambda *_: self._look())
         self.on(Deposed, self._deposed)
         self.every(LOOK_S, self._look)
 
-    # What the home says
+    # What the leader says
 
     def _heartbeat(self, source, heartbeat):
         self._heard_at = self.now
@@ -154,9 +155,10 @@
 
     @inlineCallbacks
     def _check(self, linked):
-        """Find out whether there is a home; claim when there is none.
+        """Find out whether there is a leader; claim when there is none.
 
-        Looking is not held back, only claiming: a home that has just begun is found by all at once.
+        Looking is not held back, only claiming: a leader that has just begun is found by all at
+        once.
         """
         try:
             changed = yield self._read_row()
@@ -174,10 +176,10 @@
 
     @inlineCallbacks
     def _ask_successors(self):
-        """Look for a home among the successors of the last one; return whether there is one.
+        """Look for a leader among the successors of the last one; return whether there is one.
 
-        An instance that is cut off from the store alone cannot read who the home is. Without this
-        it refused all jobs after a change of homes, for as long as it was cut off: a client comes
+        An instance that is cut off from the store alone cannot read who the leader is. Without this
+        it refused all jobs after a change of leaders, for as long as it was cut off: a client comes
         back a second later, and 18 of 31 late quick jobs of a day had waited for that.
         """
         asked = [self.context.links.ask_for_leader(address) for address in self._addresses]
@@ -220,7 +222,7 @@
         return not is_known and not can_lead(settings.link_mbps, settings.cpu_milli)
 
     def _still_s(self):
-        """Return for how long the home's row may stand still."""
+        """Return for how long the leader's row may stand still."""
         n_doublings = min(MAX_DOUBLINGS, self.row.n_loads)
         return max(STILL_S, STILL_READS * self._read_s) * 2**n_doublings
 
@@ -235,7 +237,7 @@
 
     @inlineCallbacks
     def _read_row(self):
-        """Read the home's row; return whether another life of an instance holds it now."""
+        """Read the leader's row; return whether another life of an instance holds it now."""
         began = self.now
         rows, _ = yield self.context.store.read(LEADER_TABLE, PART)
         self._read_s = self.now - began
@@ -244,7 +246,7 @@
         found = next((row for row in rows if row.key == LEADER_KEY), None)
         self.row = decode(found.value, LeaderRow, error=PlatformError) if found else None
         self.row_version = found.version if found else 0
-        # A home that loads does not write its own row yet, but another one beside it.
+        # A leader that loads does not write its own row yet, but another one beside it.
         self._newest_version = max((row.version for row in rows), default=0)
         changed = self.row is not None and self.row.incarnation != before
         if changed:
@@ -274,11 +276,11 @@
 
     @inlineCallbacks
     def _watch(self, dialling):
-        """Look at a home's row until it is reached, has a successor, or writes no more.
+        """Look at a leader's row until it is reached, has a successor, or writes no more.
 
-        A home that goes on writing is left alone: that it cannot be reached, or that a connection
-        to it is refused, a cut may do, too. A dark home is not waited for: it takes the dial 0.4 s
-        to find that out, and an instance that starts would see its successor that much later.
+        A leader that goes on writing is left alone: that it cannot be reached, or that a connection
+        to it is refused, a cut may do, too. A dark leader is not waited for: it takes the dial 0.4
+        s to find that out, and an instance that starts would see its successor that much later.
 
         Parameters
         ----------
@@ -342,7 +344,7 @@
 
     @inlineCallbacks
     def _claim_once(self, why):
-        """Claim; return the home's row if that has been written since it was read, or None."""
+        """Claim; return the leader's row if that has been written since it was read, or None."""
         if self.context.leaving:
             return None
         former = self.row
@@ -353,7 +355,7 @@
             term=1,
         )
         if former is not None:
-            # What it said of its workers stays true until this home has heard them.
+            # What it said of its workers stays true until this leader has heard them.
             row.term = former.term + 1
             row.handover = former.handover
             row.registry_version = former.registry_version
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -1,4 +1,4 @@
-"""Connections between instances: each to the home, over which calls go both ways."""
+"""Connections between instances: each to the leader, over which calls go both ways."""
 
 from twisted.internet.defer import Deferred, TimeoutError, fail
 
@@ -23,19 +23,19 @@
 #: Wait for a connection to another instance. One way takes about 1 ms. Unit: seconds.
 DIAL_TIMEOUT_S = 0.4
 
-#: Wait for the word of an instance that it is the home, which it sends with its hello. Unit:
+#: Wait for the word of an instance that it is the leader, which it sends with its hello. Unit:
 #: seconds.
 WORD_TIMEOUT_S = 0.15
 
-#: Successors whose addresses the home tells. The next home is one of the first, and in a cell of 44
-#: each address is sent 220 times a second.
+#: Successors whose addresses the leader tells. The next leader is one of the first, and in a cell
+#: of 44 each address is sent 220 times a second.
 MAX_ADDRESSES = 3
 
 #: Time by which an instance must have been started after another one to count as started anew:
 #: those of a cell that begins start within seconds of each other. Unit: seconds.
 RESTARTED_S = 4.0
 
-#: Time for which a home that loses its place remembers who was connected: all others leave it
+#: Time for which a leader that loses its place remembers who was connected: all others leave it
 #: within milliseconds for the next one, and it sees its own end up to a second later. Unit:
 #: seconds.
 REMEMBERED_S = 5.0
@@ -46,7 +46,7 @@
 
     Notes
     -----
-    An instance keeps one connection, to the home; the home has one from each instance. At 41
+    An instance keeps one connection, to the leader; the leader has one from each instance. At 41
     instances this makes 40 connections where a full mesh would have 820.
     """
 
@@ -99,7 +99,7 @@
 
     @property
     def reaches_home(self):
-        """Whether this instance is the home or is connected to it."""
+        """Whether this instance is the leader or is connected to it."""
         return self.context.leader is not None or self.leader_link is not None
 
     @property
@@ -118,7 +118,7 @@
 
     @property
     def successors(self):
-        """Names of the connected instances in the order in which they should become the home."""
+        """Names of the connected instances in the order in which they should become the leader."""
         hellos = [link.peer for link in self.peers.values()]
         return [hello.instance for hello in rank_candidates(hellos, self._restarted)]
 
@@ -137,12 +137,12 @@
         first = rank_candidates(hellos.values(), self._restarted)
         return [hello.address for hello in first if hello.address][:MAX_ADDRESSES]
 
-    # To the home
+    # To the leader
 
     def ask_for_leader(self, address):
         """Connect to an instance; the Deferred fires with its :class:`LeaderReply`, or None.
 
-        None says that it is not the home, or is not reached.
+        None says that it is not the leader, or is not reached.
         """
         done = self.dial(address)
         done.addCallback(self._await_word)
@@ -182,13 +182,13 @@
         return failure
 
     def follow_leader(self, link):
-        """Use a link as the one to the home."""
+        """Use a link as the one to the leader."""
         if self.leader_link is not None and self.leader_link is not link:
             self.leader_link.abort()
         self.leader_link = link
 
     def leave_leader(self):
-        """Drop the connection to the home."""
+        """Drop the connection to the leader."""
         link, self.leader_link = self.leader_link, None
         if link is not None:
             link.abort()
@@ -263,7 +263,7 @@
     # Calls
 
     def call_leader(self, timeout, **values):
-        """Make a :class:`JobCall` to the home, which may be this instance."""
+        """Make a :class:`JobCall` to the leader, which may be this instance."""
         if self.context.leader is not None:
             return self.context.leader.serve(JobCall(call=0, **values))
         if self.leader_link is None:
@@ -337,7 +337,7 @@
 
 
 class LeaderReply:
-    """An instance said that it is the home.
+    """An instance said that it is the leader.
 
     Parameters
     ----------
@@ -353,6 +353,6 @@
 
 
 class LeaderLinkLost:
-    """The connection to the home is gone."""
+    """The connection to the leader is gone."""
 
     __slots__ = ()
--- a/anvilflow/cell/_loading_heartbeat.py
+++ b/anvilflow/cell/_loading_heartbeat.py
@@ -1,4 +1,4 @@
-"""Shows that a home lives while it reads its tables."""
+"""Shows that a leader lives while it reads its tables."""
 
 from msgspec import Struct
 
@@ -7,25 +7,25 @@
 from ._recorder import HEARTBEAT_S
 from ._tables import LEADER_KEY, LEADER_TABLE, LOADING_KEY, LeaderRow, condition, write
 
-#: Time after which a home that still loads offers its place. 1.7 MB, the rows of all jobs of 140 s
-#: at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
+#: Time after which a leader that still loads offers its place. 1.7 MB, the rows of all jobs of 140
+#: s at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
 FIRST_LOAD_S = 5.0
 
-#: Each claim in a row after which no home has begun doubles that time, at the most so often: where
-#: all links are slower than thought, one of them has the time that it needs.
+#: Each claim in a row after which no leader has begun doubles that time, at the most so often:
+#: where all links are slower than thought, one of them has the time that it needs.
 MAX_DOUBLINGS = 5
 
 
 class LoadingRow(Struct, kw_only=True):
-    """Written again and again by a home that loads; only that its version grows counts."""
+    """Written again and again by a leader that loads; only that its version grows counts."""
 
     incarnation: str
 
 
 class LoadingHeartbeat:
-    """Writes a row beside the home's until closed.
+    """Writes a row beside the leader's until closed.
 
-    Over a slow link a home loads for seconds. An instance that did not reach it saw a row that
+    Over a slow link a leader loads for seconds. An instance that did not reach it saw a row that
     stood still, and claimed; if the two did not reach each other they took turns, each deposed
     before it had started a task.
 
@@ -38,9 +38,10 @@
 
     Notes
     -----
-    Each write is made on the condition that the home's row is as the claim left it, so that another
-    claim ends it. The home's row itself stays: a late write to it could be taken for a record. No
-    write waits for the answer to the one before, which may come late over the link that is full.
+    Each write is made on the condition that the leader's row is as the claim left it, so that
+    another claim ends it. The leader's row itself stays: a late write to it could be taken for a
+    record. No write waits for the answer to the one before, which may come late over the link that
+    is full.
     """
 
     def __init__(self, *, context, claimed, on_deposed, on_error):
@@ -60,7 +61,7 @@
 
     @property
     def is_late(self):
-        """Whether the home has loaded for so long that another one should try.
+        """Whether the leader has loaded for so long that another one should try.
 
         Answers that trickle over a squeezed link neither fail nor end, and nobody else may begin.
         """
--- a/anvilflow/cell/_pending_jobs.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -1,4 +1,4 @@
-"""How many jobs of each queue wait, as an instance knows it without asking the home."""
+"""How many jobs of each queue wait, as an instance knows it without asking the leader."""
 
 from collections import Counter
 
@@ -10,15 +10,16 @@
 from ._job_store import read_jobs
 from ._tables import CANCEL_MARK, JOBS, JobRow
 
-#: Period in which the home tells what waits, with a beat: after 0.6 s at the latest. Unit: seconds.
+#: Period in which the leader tells what waits, with a beat: after 0.6 s at the latest. Unit:
+#: seconds.
 PENDING_HEARTBEAT_S = 0.4
 
 #: Age up to which a count is good for an answer; with the period above it is less than the two
 #: seconds old that callers were promised. Unit: seconds.
 MAX_AGE_S = 1.3
 
-#: Time without a word of a home after which the counts are given up. One that is out of reach from
-#: here may live and begin jobs, which go on being counted as if they waited. Unit: seconds.
+#: Time without a word of a leader after which the counts are given up. One that is out of reach
+#: from here may live and begin jobs, which go on being counted as if they waited. Unit: seconds.
 MAX_UNRESPONSIVE_S = 10.0
 
 #: Time without an answer of the store after which it is not asked: longer than the time limit of
@@ -28,16 +29,16 @@
 #: Parts of the table of jobs that are read at the same time where its history is gone.
 READINGS_AT_ONCE = 8
 
-#: Longest wait of a caller for the first word of a home, as after the end of all instances: half of
-#: the time for which callers wait. Unit: seconds.
+#: Longest wait of a caller for the first word of a leader, as after the end of all instances: half
+#: of the time for which callers wait. Unit: seconds.
 FIRST_WORD_S = 1.5
 
 
 class PendingCounts(Struct, kw_only=True):
-    """What a home tells: jobs of which nothing has begun, by queue; those of none are left out.
+    """What a leader tells: jobs of which nothing has begun, by queue; those of none are left out.
 
-    `version` is the newest of the table of jobs that the home knows. An entry tells it of a job in
-    milliseconds; up to the feed's version, those of the last second would be counted twice.
+    `version` is the newest of the table of jobs that the leader knows. An entry tells it of a job
+    in milliseconds; up to the feed's version, those of the last second would be counted twice.
     """
 
     counts: dict[str, int]
@@ -47,9 +48,9 @@
 class PendingJobs:
     """Counts of jobs of which nothing has begun, by queue.
 
-    The configuration alone says whether a queue is served; the home knows how many of its jobs
+    The configuration alone says whether a queue is served; the leader knows how many of its jobs
     wait. Asked for each answer, its loss would make all other instances refuse every queue until
-    there is another one, as if they did not know it. Nothing begins without a home: what it told
+    there is another one, as if they did not know it. Nothing begins without a leader: what it told
     last, and the jobs that were accepted since, are the count until then.
 
     Parameters
@@ -68,7 +69,7 @@
 
     @property
     def is_known(self):
-        """Whether a home has told what waits."""
+        """Whether a leader has told what waits."""
         return self._counts is not None
 
     @property
@@ -77,7 +78,7 @@
         return self.is_known and self.context.clock.seconds() - self._known_at <= MAX_AGE_S
 
     def told(self, waiting):
-        """Take what a home tells."""
+        """Take what a leader tells."""
         self._counts = Counter(waiting.counts)
         self._version = waiting.version
         self._known_at = self._told_at = self.context.clock.seconds()
@@ -91,7 +92,7 @@
 
     @inlineCallbacks
     def await_first(self):
-        """Wait until a home has told for the first time.
+        """Wait until a leader has told for the first time.
 
         Raises
         ------
@@ -112,12 +113,12 @@
 
     @inlineCallbacks
     def refresh(self):
-        """Count what was accepted since the home told; one reading for all who ask meanwhile.
+        """Count what was accepted since the leader told; one reading for all who ask meanwhile.
 
         Raises
         ------
         NotReadyError
-            AF204, when neither a home nor the store tells.
+            AF204, when neither a leader nor the store tells.
         """
         yield self._lock.run(self._refresh_if_old)
 
@@ -135,7 +136,7 @@
         except PlatformError as exc:
             raise _not_known(str(exc)) from exc
         if self._version != version:
-            # A home has told meanwhile, and knows of these jobs.
+            # A leader has told meanwhile, and knows of these jobs.
             return
         self._counts.update(accepted)
         self._version = newest
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -25,30 +25,30 @@
 #: each wait here is one that the next end may have, too. Unit: seconds.
 GATHER_S = 0.015
 
-#: The same for a home that is about to stop: its successor's claim has to come between two of them.
-#: Unit: seconds.
+#: The same for a leader that is about to stop: its successor's claim has to come between two of
+#: them. Unit: seconds.
 LEAVING_GATHER_S = 0.1
 
-#: The same for a home that is short of link or processor: ends of a worker that come meanwhile are
-#: told in one answer, and each record is a call. Unit: seconds.
+#: The same for a leader that is short of link or processor: ends of a worker that come meanwhile
+#: are told in one answer, and each record is a call. Unit: seconds.
 SHORT_GATHER_S = 0.05
 
-#: Period of writes without anything to record: they show instances that do not reach the home that
-#: it lives. A take-over waits for two of them, and they cost 7 of the store's 800 calls a second.
-#: Unit: seconds.
+#: Period of writes without anything to record: they show instances that do not reach the leader
+#: that it lives. A take-over waits for two of them, and they cost 7 of the store's 800 calls a
+#: second. Unit: seconds.
 HEARTBEAT_S = 0.15
 
 #: Jobs in one transaction at the most. A call holds 100 entries; a job that ends takes two, and the
-#: home's row two. In a slow store a transaction takes 0.7 s, and a burst ends 45 jobs a second.
+#: leader's row two. In a slow store a transaction takes 0.7 s, and a burst ends 45 jobs a second.
 JOBS_PER_COMMIT = 45
 
 #: Records in one transaction at the most, but for one that is larger by itself. A call holds 1 MB;
-#: records are a third larger on the wire, and the home's row has up to 64 kB. A call over that was
-#: refused, and made again for ever: nothing was recorded any more. Unit: bytes.
+#: records are a third larger on the wire, and the leader's row has up to 64 kB. A call over that
+#: was refused, and made again for ever: nothing was recorded any more. Unit: bytes.
 BYTES_PER_COMMIT = 600_000
 
-#: Entries of the registry that name no worker in the home's row at the most, some 2 kB of it. After
-#: a change of one that is left out a new home waits for the leases of nobody, 3.8 s.
+#: Entries of the registry that name no worker in the leader's row at the most, some 2 kB of it.
+#: After a change of one that is left out a new leader waits for the leases of nobody, 3.8 s.
 MAX_NAMELESS = 100
 
 #: Shorter waits than this are over: the clock does not tell them from none. Unit: seconds.
@@ -58,7 +58,7 @@
 LONGEST_WRITE_S = 2.0
 
 #: Least and longest time after which an answer is doubted, and how many of the last answer's times
-#: it is between them. A home that the store does not reach is found by it: in 0.8 s, with the
+#: it is between them. A leader that the store does not reach is found by it: in 0.8 s, with the
 #: reading that follows. Unit: seconds.
 MIN_TIMEOUT_S = 0.3
 MAX_TIMEOUT_S = 1.0
@@ -74,10 +74,10 @@
 
 
 class Recorder:
-    """Writes records under the home's row.
+    """Writes records under the leader's row.
 
-    Every transaction is made on the condition that the home's row is as the last one left it, and
-    writes the row anew. So a former home writes nothing, and a transaction without an answer that
+    Every transaction is made on the condition that the leader's row is as the last one left it, and
+    writes the row anew. So a former leader writes nothing, and a transaction without an answer that
     is carried out seconds later does nothing: the row has moved on by then.
 
     Parameters
@@ -89,13 +89,13 @@
         Called after each transaction with the jobs that have ended in it.
     on_deposed : callable
     on_confirmed : callable
-        Called with the time at which a call was sent that showed that this is the home.
+        Called with the time at which a call was sent that showed that this is the leader.
 
     Notes
     -----
     `reach` tells whether the store answers this recorder at all. Other calls of the instance do not
-    count: a part of the store that is full of jobs refuses an entry, and a home that took this for
-    an outage gave its place away again and again.
+    count: a part of the store that is full of jobs refuses an entry, and a leader that took this
+    for an outage gave its place away again and again.
     """
 
     def __init__(self, *, context, claimed, scheduler, on_recorded, on_deposed, on_confirmed):
@@ -189,7 +189,7 @@
             self.scheduler.workers[worker.info.worker_id].in_handover = True
         grace_period = self.scheduler.grace_period
         is_over = grace_period.is_over(self.context.clock.seconds())
-        # What this home does not know of the workers yet, the next one must not take for known.
+        # What this leader does not know of the workers yet, the next one must not take for known.
         is_known = is_over or grace_period.is_known
         missing = [] if is_over else sorted(grace_period.missing)
         return LeaderRow(
@@ -250,7 +250,7 @@
 
     @inlineCallbacks
     def _watch(self, writing):
-        """Wait for the answer to a transaction; return the home's row if that shows its fate.
+        """Wait for the answer to a transaction; return the leader's row if that shows its fate.
 
         While the answer is out the row is read: a store that does not reach this instance is found
         in 0.6 s so, and one that is only slow is not given the same transaction twice. One that
@@ -278,10 +278,10 @@
 
     @inlineCallbacks
     def _read_row(self):
-        """Read the home's row; return None when that fails.
+        """Read the leader's row; return None when that fails.
 
         Writes whose answers are lost and a store that does not reach this instance look alike; only
-        in the second case another home would do better.
+        in the second case another leader would do better.
         """
         began = self.context.clock.seconds()
         try:
@@ -321,7 +321,7 @@
             self.on_recorded(ended)
 
     def _refused(self, leader_row, snapshot, unsure):
-        """Take the home's row as it is found: the last write did it, or another home."""
+        """Take the leader's row as it is found: the last write did it, or another leader."""
         holder = None
         if leader_row is not None and leader_row.value:
             holder = decode(leader_row.value, LeaderRow, error=PlatformError)
@@ -348,7 +348,7 @@
     """Return the write of a job's progress.
 
     2,200 checkpoints fill a row. One over its size was refused for ever, and with it all that the
-    home records. Left out they cost the next home the work since their tasks began;
+    leader records. Left out they cost the next leader the work since their tasks began;
     what is done or has failed, which decides what may run, is kept.
     """
     record = job.to_record()
--- a/anvilflow/cell/_registry.py
+++ b/anvilflow/cell/_registry.py
@@ -1,4 +1,4 @@
-"""What a home makes of the entries in the workers' registry."""
+"""What a leader makes of the entries in the workers' registry."""
 
 from ..exceptions import PlatformError
 from ..platform import decode_worker
@@ -26,7 +26,8 @@
     """Reads entries; puts those aside that name no worker.
 
     Other programs write there, too: fields are missing or of another type, or the bytes cannot be
-    read. Held like a worker, such an entry would keep a new home waiting for the leases of nobody.
+    read. Held like a worker, such an entry would keep a new leader waiting for the leases of
+    nobody.
 
     Parameters
     ----------
@@ -64,7 +65,7 @@
     def _is_used(self, service):
         """Whether tasks may run on a worker of the service: of a removed queue they run to the end.
 
-        What such a queue has running would be started twice by a home that did not look.
+        What such a queue has running would be started twice by a leader that did not look.
         """
         scheduler = self.scheduler
         if scheduler.config is None or scheduler.config.names_service(service):
--- a/anvilflow/cell/_relay.py
+++ b/anvilflow/cell/_relay.py
@@ -1,4 +1,4 @@
-"""Makes calls to workers for the home: an instance as a carrier."""
+"""Makes calls to workers for the leader: an instance as a relay."""
 
 from collections import OrderedDict
 
@@ -19,7 +19,7 @@
     find_flaw,
 )
 
-#: Time for which answers are gathered for one frame: the home, which is short of processor, pays
+#: Time for which answers are gathered for one frame: the leader, which is short of processor, pays
 #: for each frame that it reads. Unit: seconds.
 GATHER_S = 0.01
 
@@ -35,13 +35,13 @@
 
 
 class RelayPart(Part):
-    """Carries out the orders of the home to workers, each at once or not at all.
+    """Carries out the orders of the leader to workers, each at once or not at all.
 
     Notes
     -----
-    An order that has waited for longer than its time limit is not sent: the home has given it up,
-    and a start would begin after all that followed from that. So is one of a home that another one
-    has followed, as far as this instance has heard; the worker's fence refuses the rest.
+    An order that has waited for longer than its time limit is not sent: the leader has given it up,
+    and a start would begin after all that followed from that. So is one of a leader that another
+    one has followed, as far as this instance has heard; the worker's fence refuses the rest.
     """
 
     prefix = "carrier"
@@ -87,7 +87,7 @@
         done.addErrback(self.fail_with)
 
     def heard(self, link, sent_ms):
-        """Return for how long a message of the home was on its way. Unit: seconds."""
+        """Return for how long a message of the leader was on its way. Unit: seconds."""
         if link is not self._link:
             self._link, self._age = link, MessageAge()
         return self._age.note(sent_ms / 1000, self.now)
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -1,15 +1,15 @@
-"""Which instances make the home's calls to workers."""
+"""Which instances make the leader's calls to workers."""
 
 from ..decisions import choose_owner
 from ..exceptions import NotReadyError, PeerTimeoutError
 from ._leader_eligibility import can_lead
 from ._worker_commands import LATE, LEAVING
 
-#: Time beyond an order's own limit for which its answer is waited for: the way to the carrier and
+#: Time beyond an order's own limit for which its answer is waited for: the way to the relay and
 #: back, and its turn there. Unit: seconds.
 HOP_S = 0.3
 
-#: Time for which a carrier gets no orders after one that it did not answer, or did not carry out:
+#: Time for which a relay gets no orders after one that it did not answer, or did not carry out:
 #: doubled each time up to the longest, unless it carried out orders for as long. Unit: seconds.
 BACKOFF_S = 1.0
 MAX_BACKOFF_S = 16.0
@@ -21,7 +21,7 @@
 #: Time for which orders are carried after the link was short. Unit: seconds.
 BUSY_KEPT_S = 10.0
 
-#: Time for which the list of carriers is kept: orders to one that has gone meanwhile are not sent,
+#: Time for which the list of relays is kept: orders to one that has gone meanwhile are not sent,
 #: and go to the next. Unit: seconds.
 NAMES_KEPT_S = 0.1
 
@@ -40,8 +40,8 @@
 
     Notes
     -----
-    Carriers decide nothing. Tokens, leases, time limits, retries and the number of starts under way
-    are the home's, and an order that a carrier did not answer means what a call without an answer
+    Relays decide nothing. Tokens, leases, time limits, retries and the number of starts under way
+    are the leader's, and an order that a relay did not answer means what a call without an answer
     means.
     """
 
@@ -61,10 +61,10 @@
 
     @property
     def are_used(self):
-        """Whether the home's own link or processor is short, so that others make its calls.
+        """Whether the leader's own link or processor is short, so that others make its calls.
 
-        Of the processor what the settings tell counts, not the lag: while a home is late the change
-        itself would make it later.
+        Of the processor what the settings tell counts, not the lag: while a leader is late the
+        change itself would make it later.
         """
         settings = self.context.settings
         if not can_lead(settings.link_mbps, settings.cpu_milli):
@@ -93,7 +93,7 @@
         self._gateways.pop(job_id, None)
 
     def for_worker(self, worker_id):
-        """Return the instance that holds a worker, or None: the home itself does."""
+        """Return the instance that holds a worker, or None: the leader itself does."""
         names = self._relay_names()
         if not names:
             return None
@@ -151,7 +151,7 @@
         Raises
         ------
         NotReadyError
-            AF204, the order was not sent to the carrier.
+            AF204, the order was not sent to the relay.
         PeerSilentError
             AF502, it may be carried out.
         """
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -1,4 +1,4 @@
-"""The home's conversation with one worker."""
+"""The leader's conversation with one worker."""
 
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 from twisted.internet.task import deferLater
@@ -15,7 +15,7 @@
 
 #: Least waits for the answer to a start, one after the other. The same start may be sent again: a
 #: worker that has the run says so, and one that was lost on the way is made up for before the other
-#: members of a gang give up. Workers answer in some 3 ms, and a home's processor may stand still
+#: members of a gang give up. Workers answer in some 3 ms, and a leader's processor may stand still
 #: for a tenth of a second. The first wait is short: where 6 of 100 orders have no answer, two of
 #: three lookups of ten tasks lose one, and waited 0.3 s for it. Unit: seconds.
 START_TIMEOUTS_S = (0.12, 0.3, 0.3, 0.5)
@@ -185,7 +185,7 @@
 
     @inlineCallbacks
     def start(self, action):
-        """Start a run and tell the home how the worker answered."""
+        """Start a run and tell the leader how the worker answered."""
         if self.stopped or self.worker_clock is None:
             self.fleet.start_over(action)
             self.fleet.start_answered(action, "unreached")
--- a/anvilflow/cell/_settings.py
+++ b/anvilflow/cell/_settings.py
@@ -13,7 +13,7 @@
 ORDERS_BY_CALL = "invocation"
 
 #: Processor of an instance whose settings do not tell it: it is neither first nor last to become
-#: the home. Unit: thousandths of a core.
+#: the leader. Unit: thousandths of a core.
 DEFAULT_CPU_MILLI = 1000
 
 
--- a/anvilflow/cell/_standby_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the cell, followed by the instances that come next as its home."""
+"""Tables of the cell, followed by the instances that come next as its leader."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -11,7 +11,7 @@
 from ._registry import is_worker_entry
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
-#: Successors that follow the tables: the next home, and the one after it.
+#: Successors that follow the tables: the next leader, and the one after it.
 N_STANDBYS = 2
 
 #: Pause between readings of what has changed. Unit: seconds.
@@ -22,7 +22,7 @@
 IDLE_PERIOD_S = 5.0
 
 #: Time for which the tables are kept by an instance that is no successor any more: between two
-#: homes there is no order. Unit: seconds.
+#: leaders there is no order. Unit: seconds.
 KEPT_S = 5.0
 
 _TABLES = (JOBS, PROGRESS, ENDED, REGISTRY_TABLE)
@@ -55,11 +55,11 @@
 
 
 class StandbyTablesPart(Part):
-    """Follows the tables that a home reads when it begins, while this instance is a successor.
+    """Follows the tables that a leader reads when it begins, while this instance is a successor.
 
-    Over a narrow link, and with little processor, a new home read them for seconds. Leases ended
+    Over a narrow link, and with little processor, a new leader read them for seconds. Leases ended
     meanwhile, and callers were refused. After a claim only what has changed since is read; the
-    claim fences the former home, so that nothing of its records comes later.
+    claim fences the former leader, so that nothing of its records comes later.
     """
 
     prefix = "warm"
@@ -70,7 +70,7 @@
         self._wanted_at = float("-inf")
 
     def start(self):
-        """Follow the tables whenever this instance is one of the next homes."""
+        """Follow the tables whenever this instance is one of the next leaders."""
         self.context.standby_tables = self
         self.every(self._period_s, self._follow)
 
--- a/anvilflow/cell/_start_delays.py
+++ b/anvilflow/cell/_start_delays.py
@@ -1,11 +1,11 @@
-"""How long new jobs wait until the home can start their tasks, as instances know it."""
+"""How long new jobs wait until the leader can start their tasks, as instances know it."""
 
-#: Age up to which what a home told holds: it tells every 0.4 s. Unit: seconds.
+#: Age up to which what a leader told holds: it tells every 0.4 s. Unit: seconds.
 MAX_AGE_S = 1.3
 
 
 class StartDelays:
-    """What the home told last; nothing from a home that sends starts as they come.
+    """What the leader told last; nothing from a leader that sends starts as they come.
 
     Parameters
     ----------
@@ -18,7 +18,7 @@
         self._told_at = float("-inf")
 
     def told(self, by_priority):
-        """Take the waits that a home tells, by the priority of the queue. Unit: seconds."""
+        """Take the waits that a leader tells, by the priority of the queue. Unit: seconds."""
         self._by_priority = by_priority
         self._told_at = self.clock.seconds()
 
--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -1,4 +1,4 @@
-"""Starts that wait for their turn on the home's link."""
+"""Starts that wait for their turn on the leader's link."""
 
 import heapq
 from collections import deque
--- a/anvilflow/cell/_tables.py
+++ b/anvilflow/cell/_tables.py
@@ -6,7 +6,7 @@
 from ..platform import RowCondition, RowWrite
 from ..utils import encode
 
-#: The part of the home's row and of all rows that it fences: what it records of jobs.
+#: The part of the leader's row and of all rows that it fences: what it records of jobs.
 PART = "cell"
 
 #: Accepted jobs, and marks of those that an entry cancelled; payloads of jobs, where their rows
@@ -24,22 +24,22 @@
 #: Largest value that a row holds, as the platform's settings give it. Unit: bytes.
 MAX_ROW_BYTES = 65_536
 
-#: The row of the home, and the key it lies under.
+#: The row of the leader, and the key it lies under.
 LEADER_TABLE = "home"
 LEADER_KEY = "home"
 
-#: Key, in the same table, of what a home writes while it loads.
+#: Key, in the same table, of what a leader writes while it loads.
 LOADING_KEY = "loading"
 
 
 class LeaderRow(Struct, kw_only=True):
-    """Who is the home; written anew with each of its transactions, which fences them all.
+    """Who is the leader; written anew with each of its transactions, which fences them all.
 
-    `handover` names what runs on workers that the next home cannot ask, or would not know of.
-    `registry_version` says up to where the home has followed the registry; `n_workers` how many it
-    holds; `missing` are workers that had left it when this home began and have not been seen since.
-    `nameless` are entries of the registry that name no worker, and did not while it was the home.
-    `n_loads` counts the claims in a row after which no home has begun.
+    `handover` names what runs on workers that the next leader cannot ask, or would not know of.
+    `registry_version` says up to where the leader has followed the registry; `n_workers` how many
+    it holds; `missing` are workers that had left it when this leader began and have not been seen
+    since. `nameless` are entries of the registry that name no worker, and did not while it was the
+    leader. `n_loads` counts the claims in a row after which no leader has begun.
     """
 
     holder: str
@@ -106,7 +106,7 @@
 
 
 #: Parts of the table of jobs. With the store a hundred times as slow each takes 3.3 jobs a second:
-#: sixteen were full at a burst of 45 a second, and the store refused what came. A new home reads
+#: sixteen were full at a burst of 45 a second, and the store refused what came. A new leader reads
 #: them all, in 0.03 s.
 N_JOB_PARTS = 32
 
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -1,4 +1,4 @@
-"""Calls to one worker, made by other instances while the home is short of link or processor."""
+"""Calls to one worker, made by other instances while the leader is short of link or processor."""
 
 from msgspec import Struct
 
@@ -19,7 +19,7 @@
     report_of_answer,
 )
 
-#: Other instances that are tried for an order before the home makes the call itself.
+#: Other instances that are tried for an order before the leader makes the call itself.
 MAX_RELAYS = 2
 
 #: Labels of who makes a call.
@@ -63,15 +63,15 @@
     Parameters
     ----------
     direct : WorkerCalls
-        Of the home itself.
+        Of the leader itself.
     info : WorkerInfo
     relay_dispatcher : RelayDispatcher
     context : CellContext
 
     Notes
     -----
-    An order that was certainly not sent goes to the next carrier, and at last out from here. A hold
-    that a worker did not answer a carrier is made once more from here: a carrier that is cut off
+    An order that was certainly not sent goes to the next relay, and at last out from here. A hold
+    that a worker did not answer a relay is made once more from here: a relay that is cut off
     from its share of the workers must not make them look dark. A start without an answer may be at
     work, and is left to the session's own retries.
     """
--- a/anvilflow/cell/_worker_commands.py
+++ b/anvilflow/cell/_worker_commands.py
@@ -19,7 +19,7 @@
 class CommandOutcome(IntEnum):
     """What became of an order.
 
-    `NOT_SENT` and `NO_PAYLOAD` are of the carrier: it has sent nothing, and will not.
+    `NOT_SENT` and `NO_PAYLOAD` are of the relay: it has sent nothing, and will not.
     """
 
     DONE = 0
@@ -30,8 +30,8 @@
     NO_PAYLOAD = 5
 
 
-#: Reasons for which a carrier does not send an order: it is about to stop; the order's time is
-#: over, which says more of the way to the carrier than of the carrier.
+#: Reasons for which a relay does not send an order: it is about to stop; the order's time is
+#: over, which says more of the way to the relay than of the relay.
 LEAVING = "leaving"
 LATE = "late"
 
@@ -104,7 +104,7 @@
 
 
 def raise_failed(answer):
-    """Raise what the answer of a carrier tells of a call that failed; return one that did not."""
+    """Raise what the answer of a relay tells of a call that failed; return one that did not."""
     match answer.outcome:
         case CommandOutcome.DONE:
             return answer
--- a/anvilflow/cell/tests/_helpers.py
+++ b/anvilflow/cell/tests/_helpers.py
@@ -22,7 +22,7 @@
 
 
 def end_and_start_all(cell, *, settle_s=2.0):
-    """Kill all instances at once and start them again: none knows who should be the home."""
+    """Kill all instances at once and start them again: none knows who should be the leader."""
     names = list(cell.daemons)
     for name in names:
         cell.kill(name)
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -1,4 +1,4 @@
-"""A queue that was added is served by every instance, whatever becomes of the home and the feeds.
+"""A queue that was added is served by every instance, whatever becomes of the leader and the feeds.
 
 An operator's change had been confirmed long enough before; callers of the new queue were refused
 all the same, at several instances at once.
@@ -40,14 +40,15 @@
 
 @pytest.mark.parametrize("loss", ["killed", "paused"])
 def test_added_queue_is_served_while_the_leader_is_lost(loss):
-    """The home is lost 2.5 s after the change, and all others are asked how many jobs wait.
+    """The leader is lost 2.5 s after the change, and all others are asked how many jobs wait.
 
-    They refused with 503 until the next home had begun: 0.5 s after a kill, 0.9 s after a pause.
-    Whether a queue is served stands in the configuration, but its count was asked of the home for
+    They refused with 503 until the next leader had begun: 0.5 s after a kill, 0.9 s after a pause.
+    Whether a queue is served stands in the configuration, but its count was asked of the leader for
     each answer.
 
     Evidence. With real processes, 30 of 36 refusals said `call refused`, status 503, the newest
-    version in force for two seconds, no home reached; the other six came while the next home began.
+    version in force for two seconds, no leader reached; the other six came while the next leader
+    began.
     """
     cell = make_cell(n_instances=4)
     cell.store.put("op", "config", _ADDED)
@@ -63,7 +64,7 @@
 
 
 def _without_successor(monkeypatch, cell):
-    """Kill the home, and let nobody claim its place."""
+    """Kill the leader, and let nobody claim its place."""
     monkeypatch.setattr(LeadershipPart, "_claim", lambda self, why: succeed(None))
     cell.kill(cell.leader())
 
@@ -78,10 +79,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_jobs_that_come_while_there_is_no_leader_are_counted(monkeypatch, safeguard):
-    """Two jobs wait, the home dies, and three more are accepted by several instances.
+    """Two jobs wait, the leader dies, and three more are accepted by several instances.
 
-    What the home told last is good for a moment. Kept for longer, callers would be told for the
-    whole change of homes that two wait. The store's feed has what came since.
+    What the leader told last is good for a moment. Kept for longer, callers would be told for the
+    whole change of leaders that two wait. The store's feed has what came since.
     """
     cell = make_cell(n_instances=4, n_workers=1)
     too_large = {"count": 1, "cpu": 64_000}
@@ -108,7 +109,7 @@
 
 
 def test_count_is_refused_where_the_store_is_away_too(monkeypatch):
-    """Neither a home nor the store can be asked: refused at once, with a time to come back."""
+    """Neither a leader nor the store can be asked: refused at once, with a time to come back."""
     cell = make_cell(n_instances=3)
     _without_successor(monkeypatch, cell)
     cell.store_faults.status = 503
@@ -132,9 +133,9 @@
 
 
 def test_count_waits_for_the_first_leader_after_the_end_of_all_instances():
-    """All instances end at once; the first caller is there before one of them is the home.
+    """All instances end at once; the first caller is there before one of them is the leader.
 
-    Refused at once, callers were told to come again by instances that knew the queue; the home
+    Refused at once, callers were told to come again by instances that knew the queue; the leader
     began within their time.
     """
     cell = make_cell(n_instances=3)
@@ -145,7 +146,7 @@
 
 
 def test_count_is_refused_at_once_where_no_leader_can_begin():
-    """The store is away, and no instance has heard a home since its start."""
+    """The store is away, and no instance has heard a leader since its start."""
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.kill(cell.leader())
@@ -160,7 +161,7 @@
 
 
 def test_one_lost_answer_of_the_store_does_not_refuse_the_count(monkeypatch):
-    """A reading over a silent connection had no answer; the store is there, the home is not.
+    """A reading over a silent connection had no answer; the store is there, the leader is not.
 
     Evidence. A soak's instance refused for 0.15 s as if the store were away, until a probe had
     shown that it was there.
@@ -174,7 +175,7 @@
 
 
 def test_count_is_told_without_a_leader_where_the_store_has_dropped_its_history(monkeypatch):
-    """Instances that lost their home refused each queue until there was another one."""
+    """Instances that lost their leader refused each queue until there was another one."""
     cell = make_cell(n_instances=3)
     cell.submit(cell.other(), JOB, {"count": 1, "cpu": 500}, spec="0.1 done 500")
     cell.advance(2.0)
@@ -194,11 +195,11 @@
     """All connections to the store fall silent without a reset; then the operator adds a queue.
 
     Instances went on refusing it with 404 for up to 3 s after the change. Each gave its reading of
-    the feed up 3.8 s after the call, later than a change must be in force; so did the home, whose
+    the feed up 3.8 s after the call, later than a change must be in force; so did the leader, whose
     hints help the others only once it has the change itself.
 
-    Evidence. With real processes, `call refused`, status 404, the version before, the home reached;
-    then `configuration not read` 3.8 s after the reading began, and in force 0.25 s later.
+    Evidence. With real processes, `call refused`, status 404, the version before, the leader
+    reached; then `configuration not read` 3.8 s after the reading began, and in force 0.25 s later.
     """
     cell = make_cell(n_instances=4)
     cell.advance(waited_s)
--- a/anvilflow/cell/tests/test_cancel_marks.py
+++ b/anvilflow/cell/tests/test_cancel_marks.py
@@ -1,4 +1,4 @@
-"""Jobs that are cancelled by an instance which does not reach the home."""
+"""Jobs that are cancelled by an instance which does not reach the leader."""
 
 import pytest
 from twisted.internet.defer import inlineCallbacks
@@ -15,8 +15,8 @@
 def test_mark_of_a_cancelled_job_is_not_shown_as_its_end(monkeypatch, safeguard):
     """A client is shown that its job is cancelled, and later that it is completed.
 
-    An instance without a home marks the job in the store. The home reads the marks only once a
-    second; before that the last task ends, and the home records that the job is completed. A mark
+    An instance without a leader marks the job in the store. The leader reads the marks only once a
+    second; before that the last task ends, and the leader records that the job is completed. A mark
     is a wish: what the job has ended as is in the record of its end, and in no other row.
     """
     monkeypatch.setattr(_leader, "JOBS_FEED_S", 4.0)
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -62,7 +62,7 @@
 
     The run is stopped although nobody knows that it begins, and the stop is sent again until the
     worker has taken it: then the worker refuses the start, or ends what began before the stop came.
-    Were only runs stopped that have begun, the task would run on: its home takes it for its own.
+    Were only runs stopped that have begun, the task would run on: its leader takes it for its own.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_stop", _stop_begun)
@@ -146,8 +146,8 @@
 def test_tasks_on_a_worker_that_left_the_registry_are_stopped(monkeypatch, safeguard):
     """A worker's entry is gone while its task runs on; then the job is cancelled.
 
-    The home goes on holding the worker, and its stop reaches it. Given up with its entry, the task
-    would run until its lease lapses.
+    The leader goes on holding the worker, and its stop reaches it. Given up with its entry, the
+    task would run until its lease lapses.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "registry_entry_removed", _fleet.Fleet.worker_gone)
@@ -167,11 +167,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_late_start_of_a_removed_leader_is_stopped_by_the_next(monkeypatch, safeguard):
-    """A worker leaves a start unanswered; the job is cancelled and its home is removed for good.
+    """A worker leaves a start unanswered; the job is cancelled and its leader is removed for good.
 
-    The worker, which the next home does not reach yet, carries the start out. No record tells of
-    it: the next home finds the run among what the worker lists, and stops it. Left alone it would
-    run on under the leases of the next home.
+    The worker, which the next leader does not reach yet, carries the start out. No record tells of
+    it: the next leader finds the run among what the worker lists, and stops it. Left alone it would
+    run on under the leases of the next leader.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
@@ -194,10 +194,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_leader(monkeypatch, safeguard):
-    """A cancelling is durable, its stops go astray, and two homes in a row are removed.
+    """A cancelling is durable, its stops go astray, and two leaders in a row are removed.
 
-    Each next home lists the job as ended and stops its tasks at the first report. Taken for those
-    of a job that may yet be heard of, they wait 1.5 s at each home, and the third one comes late:
+    Each next leader lists the job as ended and stops its tasks at the first report. Taken for those
+    of a job that may yet be heard of, they wait 1.5 s at each leader, and the third one comes late:
     they ran for 4.0 s after the cancelling, 0.6 s too long.
     """
     if not safeguard:
@@ -220,9 +220,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_cancelling_that_an_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
-    """The home is removed; a client cancels before there is another, and hears 200.
+    """The leader is removed; a client cancels before there is another, and hears 200.
 
-    The mark in the store is read by the next home when it begins. Not read, the job would go on.
+    The mark in the store is read by the next leader when it begins. Not read, the job would go on.
     """
     if not safeguard:
         monkeypatch.setattr(_job_intake.JobIntake, "take", lambda self, row: [])
@@ -239,10 +239,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_cancelling_that_was_lost_with_its_leader_is_marked_by_the_gateway(monkeypatch, safeguard):
-    """A slow store has not taken the cancelling yet when the home that wrote it is removed.
+    """A slow store has not taken the cancelling yet when the leader that wrote it is removed.
 
     The entry that asked for it writes a mark before it answers. The 2xx of one that did not would
-    be for nothing: the next home knows of no cancelling.
+    be for nothing: the next leader knows of no cancelling.
     """
     if not safeguard:
         monkeypatch.setattr(_gateway, "cancel_stored_job", lambda store, job_id: succeed(True))
@@ -266,10 +266,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_on_a_dark_worker_is_stopped_by_the_next_leader(monkeypatch, safeguard):
-    """A worker goes dark, its task's job is cancelled, and the home is removed; then it answers.
+    """A worker goes dark, its task's job is cancelled, and the leader is removed; then it answers.
 
-    The former home's row names the task, which is not taken on: its job has ended. Listed by the
-    worker it is stopped. Left alone it would run on under the next home's leases.
+    The former leader's row names the task, which is not taken on: its job has ended. Listed by the
+    worker it is stopped. Left alone it would run on under the next leader's leases.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
@@ -291,7 +291,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_late_start_on_a_worker_that_was_given_up_is_stopped(monkeypatch, safeguard):
-    """A worker leaves a start unanswered, goes dark and loses its entry; its home gives it up.
+    """A worker leaves a start unanswered, goes dark and loses its entry; its leader gives it up.
 
     With the session the stops end that should have barred the run. The worker registers again and
     carries the start out; the new session hears of it as of a run that has no place, and stops it.
@@ -318,9 +318,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_late_start_of_a_removed_leader_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
-    """A start takes effect after the next home has held the worker: its token is too low by then.
+    """A start takes effect after the next leader has held the worker: its token is too low by then.
 
-    Were the tokens of both homes alike, the task of a cancelled job would begin.
+    Were the tokens of both leaders alike, the task of a cancelled job would begin.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
@@ -344,8 +344,8 @@
 def test_task_of_a_job_that_nobody_remembers_is_stopped(monkeypatch, safeguard):
     """A worker carries a start out whose job is long over: its rows are gone from the store.
 
-    The home waits whether it hears of the job, and stops the run. Waiting for ever, it would renew
-    its lease with all others on the worker.
+    The leader waits whether it hears of the job, and stops the run. Waiting for ever, it would
+    renew its lease with all others on the worker.
     """
     if not safeguard:
         monkeypatch.setattr(_run_tracker, "UNKNOWN_JOB_S", float("inf"))
@@ -370,9 +370,9 @@
 def test_leader_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
     monkeypatch, safeguard
 ):
-    """A home is paused while its stops are under way, and wakes when there is another one.
+    """A leader is paused while its stops are under way, and wakes when there is another one.
 
-    Its own stops carry a token that the workers refuse by then. The next home stops what is left,
+    Its own stops carry a token that the workers refuse by then. The next leader stops what is left,
     which it finds listed.
     """
     if not safeguard:
@@ -392,6 +392,6 @@
 
 
 def _replace_leader(cell):
-    """Remove the home for good, and start an instance that was not there before."""
+    """Remove the leader for good, and start an instance that was not there before."""
     cell.kill(cell.leader())
     cell.start_instance(f"b{len(cell.clocks)}")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -1,4 +1,4 @@
-"""Orders of a home that is short of link or processor, made by other instances."""
+"""Orders of a leader that is short of link or processor, made by other instances."""
 
 import pytest
 
@@ -42,7 +42,7 @@
 
 
 def _gateway_with_payload(cell, step=STEP, **values):
-    """Submit a job at an instance that is not the home, and return the instance."""
+    """Submit a job at an instance that is not the leader, and return the instance."""
     gateway = cell.other()
     answers = cell.submit(gateway, JOB, step, **values)
     cell.advance(0.03)
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("bytes_per_s", [250_000, 1_000_000])
 def test_link_that_is_in_use_has_commands_carried(bytes_per_s):
-    """A home on a wide link, too, once the share in use says that a burst would fill it."""
+    """A leader on a wide link, too, once the share in use says that a burst would fill it."""
     cell = make_cell(n_instances=5, n_workers=6)
     context = cell.daemons[cell.leader()].context
     context.settings.link_mbps = MIN_LEADER_LINK_MBPS
@@ -99,7 +99,7 @@
 
 
 def test_row_of_a_job_leaves_out_its_payload_and_both_end_together():
-    """A new home reads the rows of all jobs; payloads are most of their size."""
+    """A new leader reads the rows of all jobs; payloads are most of their size."""
     cell = _make_cell()
     _gateway_with_payload(cell, spec="0.5 done 1000")
     part = job_part(JOB)
@@ -136,7 +136,7 @@
 
 
 def test_steps_of_a_job_whose_gateway_is_gone_start_from_the_payload_in_the_store():
-    """Another instance reads it: the job's row does not hold it, nor does the home."""
+    """Another instance reads it: the job's row does not hold it, nor does the leader."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -147,7 +147,7 @@
 
 
 def test_leader_and_relay_are_lost_together():
-    """The next home knows neither the payload nor what was told to the carrier."""
+    """The next leader knows neither the payload nor what was told to the relay."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_command_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
-    """A carrier that was paused finds orders that the home has long given up."""
+    """A relay that was paused finds orders that the leader has long given up."""
     if not safeguard:
         monkeypatch.setattr(MessageAge, "note", lambda self, sent_at, received_at: 0.0)
     cell = _make_cell(n_workers=1)
@@ -197,7 +197,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_command_of_a_former_leader_is_not_carried_out(monkeypatch, safeguard):
-    """Workers that the next home has not reached yet would take it."""
+    """Workers that the next leader has not reached yet would take it."""
     cell = _make_cell()
     relay = cell.other()
     _gateway_with_payload(cell, spec="0.3 done 1000")
@@ -213,7 +213,7 @@
 
 
 def test_command_from_an_instance_that_is_not_the_leader_is_not_carried_out():
-    """A former home that has not noticed is connected for a while."""
+    """A former leader that has not noticed is connected for a while."""
     cell = _make_cell()
     relay = cell.other()
     context = cell.daemons[relay].context
@@ -239,13 +239,13 @@
     "values", [{}, {"clock_ms": 5, "active": [ActiveRun(run_id=1)]}, {"outcome": 77}]
 )
 def test_answer_that_is_not_whole_counts_as_none(values):
-    """A carrier's fault must not end the home's part; the worker may have acted."""
+    """A relay's fault must not end the leader's part; the worker may have acted."""
     with pytest.raises(WorkerUnreachableError):
         report_of_answer(raise_failed(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values})))
 
 
 def test_start_told_twice_begins_once():
-    """The home repeats a start whose outcome was lost, over the same carrier or another."""
+    """The leader repeats a start whose outcome was lost, over the same relay or another."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
@@ -256,7 +256,7 @@
 
 
 def test_outcomes_that_are_lost_cost_neither_tasks_nor_a_second_run():
-    """The carrier acts and its answers do not reach the home."""
+    """The relay acts and its answers do not reach the leader."""
     cell = _make_cell(n_workers=3)
     gateway = _gateway_with_payload(cell, spec="0.6 done 1000")
     cell.network.silence(gateway, cell.leader())
@@ -316,7 +316,7 @@
 
 
 def test_gang_of_which_one_member_is_not_started_is_stopped_as_a_whole():
-    """Its members are sent by the carrier one by one; the others would wait and end alone."""
+    """Its members are sent by the relay one by one; the others would wait and end alone."""
     cell = _make_cell(n_workers=4)
     cell.workers["i-2"].n_late_starts = 4
     gang = {"count": 4, "cpu": 9000, "gang": True, "estimate-ms": 500}
@@ -328,7 +328,7 @@
 
 
 def test_job_that_is_cancelled_while_its_starts_are_on_their_way():
-    """A start that a carrier was told of may come after the stop."""
+    """A start that a relay was told of may come after the stop."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, spec="30.0 done 1000")
@@ -339,7 +339,7 @@
 
 
 def test_instance_of_an_earlier_release_gets_whole_rows_and_no_commands(monkeypatch):
-    """In a rolling restart the home may not know rows without a payload."""
+    """In a rolling restart the leader may not know rows without a payload."""
     cell = _make_cell()
     for daemon in cell.daemons.values():
         monkeypatch.setattr(daemon.context, "uses_relays", False)
@@ -352,7 +352,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_drawn_days_with_relays(monkeypatch, seed):
-    """Cancelled jobs, orders that go astray, homes and workers that are lost, as without them."""
+    """Cancelled jobs, orders that go astray, leaders and workers that are lost, as without them."""
     monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert DrawnDay(seed=seed).play() == []
 
@@ -365,7 +365,7 @@
 
 
 def test_commands_of_all_kinds_are_counted_by_route_and_outcome():
-    """An operator tells by them whether the home, a carrier or a worker binds."""
+    """An operator tells by them whether the leader, a relay or a worker binds."""
     cell = _make_cell()
     gateway = _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -7,8 +7,8 @@
 Evidence. Each slow instance logged `configuration not read: TimeoutError(3.8)` once, 1.9 s after
 the change, and nothing more; from then on its link was full. The answer needs 1.8 s on such a link.
 It had been given what was left of 3.8 s from the call, in which it had waited for the change, and
-every later reading 0.8 s, so that none could end. A second reading, for the home's hint, halved the
-bandwidth of the first.
+every later reading 0.8 s, so that none could end. A second reading, for the leader's hint, halved
+the bandwidth of the first.
 """
 
 import pytest
@@ -95,7 +95,7 @@
     """A caller asks after its job at the end of the day, and has no answer in time.
 
     The instance that it asked had a full link: with the feed's answer came the readings for the
-    home's hints, and after them one try after another. Seen as 0.6 MB a second into each slow
+    leader's hints, and after them one try after another. Seen as 0.6 MB a second into each slow
     instance for fifty seconds, while no other call of the same instances failed.
     """
     if not safeguard:
@@ -114,7 +114,7 @@
 def test_change_is_in_force_in_time_where_the_feeds_connection_is_silent(monkeypatch, safeguard):
     """The feed's connection goes silent without a reset just before the operator's change.
 
-    The feed finds that out 1.4 s after its call. The home's hint makes the instance read at once,
+    The feed finds that out 1.4 s after its call. The leader's hint makes the instance read at once,
     over another connection.
     """
     if not safeguard:
@@ -136,7 +136,7 @@
 def test_leader_with_an_older_configuration_goes_by_that_of_the_jobs_gateway(monkeypatch):
     """An operator moves a queue to another service; a caller's job runs by the former one.
 
-    The instance that took the job has the change, the home does not yet, as while its feed is
+    The instance that took the job has the change, the leader does not yet, as while its feed is
     silent. It knew the queue by its own configuration, and that went first, however old it was.
     """
     cell = make_cell(n_instances=3)
@@ -232,7 +232,7 @@
 
 
 def test_configuration_that_is_not_understood_is_not_read_with_each_beat_of_the_leader():
-    """The home, of a newer release, has understood it, and says so five times a second."""
+    """The leader, of a newer release, has understood it, and says so five times a second."""
     cell = make_cell(n_instances=3)
     name, leader = cell.other(), cell.leader()
     cell.daemons[leader].context.config = decode_config(encode(make_platform_config(7)))
@@ -269,7 +269,7 @@
 def test_refused_feed_does_not_break_off_what_is_read_for_a_hint(monkeypatch, safeguard):
     """The store refuses the feed of an instance on a slow link, as it does above its rate.
 
-    The home's hint makes the instance read the configuration, which takes 2 s there. Each refusal
+    The leader's hint makes the instance read the configuration, which takes 2 s there. Each refusal
     of the feed, four a second, was taken for the beginning of its answer and broke the reading off:
     the old configuration stayed in force, and the link was full of what was thrown away.
 
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -1,4 +1,4 @@
-"""A home whose link is full."""
+"""A leader whose link is full."""
 
 import pytest
 from msgspec import Struct
@@ -8,7 +8,7 @@
 
 from ._helpers import JOB, make_cell
 
-#: Link of the home: 2 Mbit/s. Unit: bytes a second.
+#: Link of the leader: 2 Mbit/s. Unit: bytes a second.
 NARROW = 250_000
 
 #: Size of a job's payload, which each start carries. Unit: bytes.
--- a/anvilflow/cell/tests/test_crashing_tasks.py
+++ b/anvilflow/cell/tests/test_crashing_tasks.py
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("kill_delay_s", [0.05, 1.0])
 def test_crashes_are_counted_across_leaders(kill_delay_s):
-    """Guards against losing the crash count when the home fails after each crash."""
+    """Guards against losing the crash count when the leader fails after each crash."""
     cell = _make_cell(n_instances=5)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=CRASH)
     kill_at = None
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash workers and capacity changes, under random faults of homes and workers."""
+"""Tasks that crash workers and capacity changes, under random faults of leaders and workers."""
 
 from collections import Counter
 from random import Random
@@ -163,5 +163,5 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 12, 29, 91, 188])
 def test_crashing_jobs_fail_and_other_jobs_complete(seed):
-    """Guards against miscounting crashes during home changes, outages and worker silence."""
+    """Guards against miscounting crashes during leader changes, outages and worker silence."""
     assert CrashScenario(seed=seed).play() == []
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -1,4 +1,4 @@
-"""Jobs that are cancelled under drawn faults of orders, homes and workers."""
+"""Jobs that are cancelled under drawn faults of orders, leaders and workers."""
 
 from random import Random
 
@@ -124,7 +124,7 @@
 
 
 class DayWithoutStore(DrawnDay):
-    """The same, with a home that alone loses the store while it goes on ordering."""
+    """The same, with a leader that alone loses the store while it goes on ordering."""
 
     def _draw_events(self):
         yield from super()._draw_events()
@@ -152,13 +152,13 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_task_runs_twice_where_the_leader_alone_loses_the_store(seed):
-    """A task ran on two workers for 0.29 s, under the home without the store and the next one."""
+    """A task ran on two workers for 0.29 s, under the leader without the store and the next one."""
     assert DayWithoutStore(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancelled_jobs_end_and_no_task_runs_twice(seed):
-    """Jobs are cancelled while orders go astray, homes are removed, and workers are dark or hidden.
+    """Jobs are cancelled while orders are lost, leaders are removed, workers are dark or hidden.
 
     A task that runs on, or on two workers at once, is a safeguard that the other tests lack.
     """
@@ -168,9 +168,10 @@
 @pytest.mark.parametrize("seed", [46, 86])
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_drawn_days_on_which_runs_of_ended_jobs_must_not_wait(monkeypatch, safeguard, seed):
-    """Two homes are removed beside cancelled jobs whose stops went astray; tasks run on too long.
+    """Two leaders are removed beside cancelled jobs whose stops went astray; tasks run on too long.
 
-    Each next home took the runs for those of jobs that it might yet hear of, and waited 1.5 s anew.
+    Each next leader took the runs for those of jobs that it might yet hear of, and waited 1.5 s
+    anew.
     """
     if not safeguard:
         monkeypatch.setattr(
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -27,7 +27,7 @@
 
 
 def test_killed_leader_is_replaced_within_half_a_second():
-    """The home is killed under load; another claims, hears the workers and starts what waits.
+    """The leader is killed under load; another claims, hears the workers and starts what waits.
 
     Its connections close with it, so nobody has to wait for a silence.
     """
@@ -49,7 +49,7 @@
 
 
 def test_leader_that_falls_silent_is_replaced_before_leases_lapse():
-    """The home's machine loses power: connections stay open and say nothing."""
+    """The leader's machine loses power: connections stay open and say nothing."""
     cell = make_cell(n_instances=4)
     cell.submit("a1", JOB, STEP, spec="6.0 done 1000")
     cell.advance(0.5)
@@ -61,7 +61,7 @@
 
 
 def test_paused_leader_that_wakes_starts_and_records_nothing():
-    """The home is paused for four seconds; another takes over; then it wakes and goes on.
+    """The leader is paused for four seconds; another takes over; then it wakes and goes on.
 
     Its row has moved on and the workers have seen a higher token, so it ends at its first write.
     """
@@ -81,10 +81,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_end_is_acknowledged_only_when_it_is_durable(monkeypatch, safeguard):
-    """A task ends while the store is down, and then the home dies.
+    """A task ends while the store is down, and then the leader dies.
 
-    The worker still has the end for the next home. Acknowledged before its record it would be
-    lost with the home, and the task would run a second time.
+    The worker still has the end for the next leader. Acknowledged before its record it would be
+    lost with the leader, and the task would run a second time.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "acknowledged", lambda self, worker: worker.last_ended)
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_refused_job_never_runs(monkeypatch, safeguard):
-    """The store takes a job and its answer is lost, at the entry and again at the home.
+    """The store takes a job and its answer is lost, at the entry and again at the leader.
 
     The entry may not say "not accepted": it answers that it does not know. If it took no answer
     for a refusal, the task would start although its client was told that it never would.
@@ -173,7 +173,7 @@
 
 
 def test_late_writes_of_a_former_leader_do_nothing():
-    """Each write of the home is carried out seconds later, when another home has gone on.
+    """Each write of the leader is carried out seconds later, when another leader has gone on.
 
     The row has moved on by then, so that an old record never replaces a newer one.
     """
@@ -192,7 +192,7 @@
 
 
 def test_leader_that_alone_is_refused_by_the_store_hands_over():
-    """The store serves all but the home: the home says so, and another claims."""
+    """The store serves all but the leader: the leader says so, and another claims."""
     cell = make_cell(n_instances=4)
     former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec="4.0 done 1000")
@@ -235,7 +235,7 @@
 
 
 def test_cancel_at_an_instance_that_does_not_reach_the_leader():
-    """The mark is durable, so the 2xx is true; the home finds it and stops the tasks."""
+    """The mark is durable, so the 2xx is true; the leader finds it and stops the tasks."""
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.submit(cell.leader(), JOB, STEP, spec="30.0 done 1000")
@@ -288,7 +288,7 @@
 
 
 def test_drain_hands_the_leader_over_and_cuts_nothing_off():
-    """SIGTERM at the home: another takes over at once, calls are answered until the end."""
+    """SIGTERM at the leader: another takes over at once, calls are answered until the end."""
     cell = make_cell(n_instances=3)
     former = cell.leader()
     cell.submit(former, JOB, STEP, spec="5.0 done 1000")
@@ -308,7 +308,7 @@
 def test_holds_do_not_spin_while_an_end_waits_for_its_record():
     """The store is down for five seconds after an end: the worker is held a few times a second.
 
-    Answered at once again and again, holds took all of the home's processor.
+    Answered at once again and again, holds took all of the leader's processor.
     """
     cell = make_cell(n_instances=2, n_workers=1)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.5 done 1000")
@@ -320,7 +320,7 @@
 
 
 def test_constants_fit_together():
-    """A silent home is replaced well within a lease, and a lease within the worker's maximum."""
+    """A silent leader is replaced well within a lease, and a lease within the worker's maximum."""
     takeover = _leadership.UNRESPONSIVE_S + _leadership.STILL_S + 0.5
     assert takeover + _session.RENEWAL_WAIT_S < _fleet.LEASE_S
     assert _recorder.HEARTBEAT_S * 2 <= _leadership.STILL_S
@@ -328,8 +328,8 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_job_that_the_next_leader_hears_of_late_is_not_started_again(monkeypatch, safeguard):
-    """A job is accepted while homes change: the former home starts it, the next one has read the
-    table before.
+    """A job is accepted while leaders change: the former leader starts it, the next has read
+    the table before.
 
     It sees runs of a job that it does not know, and hears of the job a little later. Without taking
     the runs on it starts the same tasks again.
@@ -363,7 +363,7 @@
     """The store takes the job and its answer is lost; its next answer is not.
 
     The entry reads the row back and says 200. Without it the client waits longer and, where the
-    home is away, hears that nobody knows.
+    leader is away, hears that nobody knows.
     """
     if not safeguard:
         monkeypatch.setattr(
@@ -386,10 +386,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_fault_in_the_leader_part_does_not_leave_the_cell_without_a_leader(monkeypatch, safeguard):
-    """A decision raises at the home; the supervisor builds the part anew, which knows of nothing.
+    """A decision raises at the leader; the supervisor builds the part anew, which knows of nothing.
 
-    The instance then looks for the home and claims again. Unless the part says that it has ended,
-    leadership holds that this instance is the home, and its clients are never served again.
+    The instance then looks for the leader and claims again. Unless the part says that it has ended,
+    leadership holds that this instance is the leader, and its clients are never served again.
     """
     if not safeguard:
         monkeypatch.setattr(_leader.LeaderPart, "deposed", lambda self: None)
@@ -404,7 +404,7 @@
 
 
 def test_fault_of_the_leader_while_it_stores_a_job_is_no_refusal(monkeypatch):
-    """The home fails after it may have stored a job: its entry may not say that it was refused."""
+    """The leader fails after it may have stored a job: its entry must not call it refused."""
     cell = make_cell(n_instances=2)
     name = cell.other()
     cell.store_faults.status = 503
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Take-overs beside workers that the next home cannot ask, or would not even know of."""
+"""Take-overs beside workers that the next leader cannot ask, or would not even know of."""
 
 import pytest
 from twisted.internet.defer import succeed
@@ -16,8 +16,8 @@
 ):
     """A worker does not reach the store: its entry lapses, its tasks run on under their leases.
 
-    Then the home dies. The next one finds no such worker in the registry. Without the former
-    home's word it starts the tasks elsewhere while they still run.
+    Then the leader dies. The next one finds no such worker in the registry. Without the former
+    leader's word it starts the tasks elsewhere while they still run.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "make_handover", lambda scheduler, now: [])
@@ -33,9 +33,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_take_over_beside_a_dark_worker_starts_other_tasks_at_once(monkeypatch, safeguard):
-    """A worker is dark, and a second later the home dies; a clerk's lookup has a second step.
+    """A worker is dark, and a second later the leader dies; a clerk's lookup has a second step.
 
-    What the former home had running on the dark worker stands in its row. Without that, every
+    What the former leader had running on the dark worker stands in its row. Without that, every
     task of every job waits until the longest lease has ended: 3.2 s.
     """
     if not safeguard:
@@ -56,9 +56,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_on_a_dark_worker_waits_for_its_lease_and_no_other_does(monkeypatch, safeguard):
-    """A task runs on a worker that goes dark and runs on; then the home dies.
+    """A task runs on a worker that goes dark and runs on; then the leader dies.
 
-    The row names the task, so that the next home leaves it alone until its lease has ended.
+    The row names the task, so that the next leader leaves it alone until its lease has ended.
     Without the names it runs twice.
     """
     if not safeguard:
@@ -82,10 +82,10 @@
 def test_worker_that_was_said_to_be_dark_gets_no_task_before_that_is_taken_back(
     monkeypatch, safeguard
 ):
-    """A dark worker answers again while the store is away; then the home dies.
+    """A dark worker answers again while the store is away; then the leader dies.
 
     The row still names what ran there. A task that was started since would not be among it, and
-    the next home, which the worker does not answer, would start it elsewhere.
+    the next leader, which the worker does not answer, would start it elsewhere.
     """
     if not safeguard:
         monkeypatch.setattr(Worker, "accepts", _accepts_without_word)
@@ -116,10 +116,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_entries_that_lapse_in_an_outage_do_not_hide_their_workers(monkeypatch, safeguard):
-    """Workers' entries lapse while the store is away, and the home, which cannot say so, dies.
+    """Workers' entries lapse while the store is away, and the leader, which cannot say so, dies.
 
-    The store returns; the next home finds no such workers for two seconds, while their tasks run.
-    It knows from the row up to when the former home had followed the registry, and from the
+    The store returns; the next leader finds no such workers for two seconds, while their tasks run.
+    It knows from the row up to when the former leader had followed the registry, and from the
     registry's history that entries have gone since: it waits. Without that it starts the tasks a
     second time.
     """
@@ -145,10 +145,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_that_is_cut_off_with_a_worker_lets_its_leases_end(monkeypatch, safeguard):
-    """The home reaches neither store nor instances, but one worker that nobody else reaches.
+    """The leader reaches neither store nor instances, but one worker that nobody else reaches.
 
     Another instance claims and waits until the leases that it cannot ask about have ended. Were
-    they renewed by the home that is cut off, their tasks would run in two places.
+    they renewed by the leader that is cut off, their tasks would run in two places.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "may_send_commands", lambda self: True)
@@ -168,7 +168,7 @@
 
 
 def test_leader_that_loses_the_store_alone_goes_on_ordering():
-    """In an outage for all, the home hears its workers: leases are renewed and steps follow."""
+    """In an outage for all, the leader hears its workers: leases are renewed and steps follow."""
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, STEP, {**STEP, "after": [0]}, spec="4.0 done 1000")
     cell.advance(0.5)
@@ -178,9 +178,9 @@
 
 
 def test_leader_that_was_paused_sends_no_lease_before_it_has_heard_of_anybody():
-    """The home is paused for ten seconds, and with it the worker's tasks lapse; then it wakes.
+    """The leader is paused for ten seconds, and with it the worker's tasks lapse; then it wakes.
 
-    Its first holds carry no lease: another home may wait for the end of the last one meanwhile.
+    Its first holds carry no lease: another leader may wait for the end of the last one meanwhile.
     """
     cell = make_cell(n_instances=2, n_workers=2)
     leader = cell.leader()
@@ -200,7 +200,7 @@
 def test_word_of_many_dark_workers_fits_into_the_row():
     """Half of a large cell is dark, with thousands of small tasks: the row stays within 64 KB.
 
-    The store refuses a larger one. All that the home records is written with it, so that nothing
+    The store refuses a larger one. All that the leader records is written with it, so that nothing
     would be recorded any more.
     """
     scheduler = Scheduler(term=1, lease_s=3.0, now=0.0)
@@ -228,10 +228,10 @@
 
 
 def test_task_of_a_job_whose_cancelling_was_lost_is_not_run_again():
-    """The store leaves the home alone; a client cancels, a task is done, and the home is replaced.
+    """The store leaves the leader alone; a client cancels, a task is done, the leader is replaced.
 
-    The cancelling was not durable, so that the job goes on at the next home; the task that is done
-    must not be started there again.
+    The cancelling was not durable, so that the job goes on at the next leader; the task that is
+    done must not be started there again.
     """
     cell = make_cell(n_instances=3, n_workers=2)
     former = cell.leader()
@@ -249,7 +249,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_worker_that_is_missing_stays_so_for_the_leader_after_the_next(monkeypatch, safeguard):
-    """Entries lapse in an outage, the home dies, and so does the next one before they are back.
+    """Entries lapse in an outage, the leader dies, and so does the next one before they are back.
 
     The second of them knows from the row that workers are missing. Without that it would see a
     registry that the first had followed to its end, and start their tasks a second time.
@@ -287,7 +287,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_worker_that_no_next_leader_has_heard_is_handed_on(monkeypatch, safeguard):
-    """A worker has left the registry and runs on; it goes dark, and two homes are lost in a row.
+    """A worker has left the registry and runs on; it goes dark, and two leaders are lost in a row.
 
     The first one named the worker in its row. The second has not heard it when it is lost, and has
     to name it all the same: the third finds it nowhere else, and would start its task again while
--- a/anvilflow/cell/tests/test_janitor.py
+++ b/anvilflow/cell/tests/test_janitor.py
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_row_of_a_job_that_has_ended_is_short(monkeypatch, safeguard):
-    """A new home reads the rows of all jobs of two minutes before it starts anything."""
+    """A new leader reads the rows of all jobs of two minutes before it starts anything."""
     if not safeguard:
         monkeypatch.setattr(GarbageCollector, "shorten", lambda self, job: None)
     cell = _make_cell()
@@ -34,7 +34,7 @@
 
 
 def test_row_of_a_job_that_runs_stays_whole():
-    """Its tasks may have to be started again by a later home."""
+    """Its tasks may have to be started again by a later leader."""
     cell = make_cell(sizes=lambda task, payload: (60.0, "done", 500))
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(2 * SWEEP_S)
@@ -58,7 +58,7 @@
 
 
 def test_short_row_does_not_bring_a_removed_row_back():
-    """A write of a former home is carried out when the row is gone."""
+    """A write of a former leader is carried out when the row is gone."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(1.5)
--- a/anvilflow/cell/tests/test_observer.py
+++ b/anvilflow/cell/tests/test_observer.py
@@ -59,7 +59,7 @@
 
 
 def test_dump_shows_the_state_of_the_parts():
-    """An operator looks at the home while a job runs."""
+    """An operator looks at the leader while a job runs."""
     cell = make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="5.0 done 1000")
     cell.advance(0.5)
@@ -83,7 +83,7 @@
 
 
 def test_policy_that_is_read_anew_is_followed():
-    """An operator sets a threshold and sends SIGHUP: the home's next plan goes by it."""
+    """An operator sets a threshold and sends SIGHUP: the leader's next plan goes by it."""
     cell = make_cell()
     daemon = cell.daemons[cell.leader()]
     policy = SchedulingPolicy(preempt_s=None)
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -54,7 +54,7 @@
     """A client is told that its job is cancelled; in that moment all instances lose power.
 
     Half of the tasks run, the others wait for room. With the acknowledgement ahead of the record
-    the next home takes the job for one that goes on, and starts the rest of it.
+    the next leader takes the job for one that goes on, and starts the rest of it.
     """
     if not safeguard:
         monkeypatch.setattr(_leader_calls.LeaderCalls, "_cancel", _cancel_in_memory)
@@ -78,7 +78,7 @@
     """A client is shown that its job is completed; in that moment all machines lose power.
 
     Its tasks end while the store does not answer, so that the record of their ends has to wait.
-    Shown ahead of the record the job is begun anew by the next home: the workers that could tell
+    Shown ahead of the record the job is begun anew by the next leader: the workers that could tell
     of the ends are gone, too.
     """
     if not safeguard:
@@ -159,7 +159,7 @@
 
 
 def _wait_until_completed(cell):
-    """Ask the home all the time; stop in the moment in which the job is shown as completed."""
+    """Ask the leader all the time; stop in the moment in which the job is shown as completed."""
     for _ in range(round(3.0 / MOMENT_S)):
         cell.clock.advance(MOMENT_S)
         for name in cell.leaders():
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""What the home and entries write in one transaction and in one row.
+"""What the leader and entries write in one transaction and in one row.
 
 The store takes 1 MB in a call. Records of jobs grow with their tasks and checkpoints: 27 bytes for
 each task that has one. Where many large jobs changed at the same time the transaction was refused,
@@ -77,7 +77,7 @@
 def test_record_that_exceeds_a_row_does_not_stop_all_records(monkeypatch, safeguard):
     """A job of 2,500 tasks with checkpoints has a record of 74 kB; a row holds 64 kB.
 
-    Its transaction was refused and made again for ever, and with it all that the home records.
+    Its transaction was refused and made again for ever, and with it all that the leader records.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "MAX_ROW_BYTES", 10_000_000)
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""How soon callers are served again when a home has changed or an outage is over."""
+"""How soon callers are served again when a leader has changed or an outage is over."""
 
 import pytest
 from logbook import TestHandler as LogRecorder
@@ -15,10 +15,10 @@
 
 
 def test_all_instances_find_a_new_leader_at_once():
-    """The home of a large cell is killed; one instance claims, the others look for it.
+    """The leader of a large cell is killed; one instance claims, the others look for it.
 
     Only a claim has to wait for its turn. If looking waited, too, the last of thirty instances
-    would refuse what only a home can answer for 1.8 s.
+    would refuse what only a leader can answer for 1.8 s.
     """
     cell = make_cell(n_instances=N_MANY)
     cell.kill(cell.leader())
@@ -31,9 +31,9 @@
 
 
 def test_no_two_instances_claim_when_all_look_at_once():
-    """All instances of a large cell see the home's end in the same moment.
+    """All instances of a large cell see the leader's end in the same moment.
 
-    Each reads the row at once; the claims keep their order, so that one home follows, not three.
+    Each reads the row at once; the claims keep their order, so that one leader follows, not three.
     """
     cell = make_cell(n_instances=N_MANY)
     term = cell.store.value("home", "home", part="cell")["term"]
@@ -50,7 +50,7 @@
 
     Without a watch on the store an instance only learns of the return by its next call: the
     feeds wait for seconds for answers that will not come, and until then it refuses jobs. After
-    an outage with refusals the home, which tries all the time, takes jobs even without the watch.
+    an outage with refusals the leader, which tries all the time, takes jobs even without the watch.
     """
     if not safeguard:
         monkeypatch.setattr(_store_probe, "PROBE_S", 3600.0)
@@ -89,7 +89,7 @@
 def test_slow_store_is_not_filled_with_second_writes(monkeypatch, safeguard):
     """The store takes half a second for each write; a client submits a job and hears 200.
 
-    The entry looks for the row while it waits. Writing a second time, it and then the home filled
+    The entry looks for the row while it waits. Writing a second time, it and then the leader filled
     the part that the job lies in, and the store refused what came after.
     """
     if not safeguard:
@@ -144,10 +144,10 @@
 
 
 def test_gateway_that_is_refused_does_not_make_the_leader_give_up():
-    """The store refuses the jobs of the home's own clients, and takes what the home writes.
+    """The store refuses the jobs of the leader's own clients, and takes what the leader writes.
 
-    Such a refusal says that a part is full of jobs. Taken for an outage, it made the home offer
-    its place, and three homes followed each other in three seconds.
+    Such a refusal says that a part is full of jobs. Taken for an outage, it made the leader offer
+    its place, and three leaders followed each other in three seconds.
     """
     cell = make_cell(n_instances=4)
     leader = cell.leader()
@@ -159,7 +159,7 @@
 
 
 def test_instance_that_starts_beside_a_dark_leader_finds_its_successor_at_once():
-    """The home's machine is dark; all others start, and one of them claims within 0.4 s.
+    """The leader's machine is dark; all others start, and one of them claims within 0.4 s.
 
     An instance that waited for its connection to the dark one first would find the successor
     0.4 s later, and what its clients submit meanwhile.
@@ -199,8 +199,8 @@
 def test_leader_gives_a_slow_store_each_transaction_once(monkeypatch, safeguard):
     """Each call to the store takes 0.5 s from one moment to the next, while a job ends.
 
-    The home reads its row while the answer is out, and the transaction goes on waiting. Sent again
-    after 0.3 s it stood in the same queue twice, with claims and records behind it.
+    The leader reads its row while the answer is out, and the transaction goes on waiting. Sent
+    again after 0.3 s it stood in the same queue twice, with claims and records behind it.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder.Recorder, "_watch", _wait_once)
@@ -223,7 +223,7 @@
 
 
 def test_claims_in_a_slow_store_keep_their_order():
-    """The home dies while each call takes 0.3 s: one instance claims, and no other after it."""
+    """The leader dies while each call takes 0.3 s: one instance claims, and no other after it."""
     cell = make_cell(n_instances=8)
     term = cell.store.value("home", "home", part="cell")["term"]
     cell.store_faults.slow_s = 0.3
@@ -232,18 +232,18 @@
     cell.kill(cell.leader())
     cell.advance(2.2)
     assert cell.store.value("home", "home", part="cell")["term"] == term + 1
-    # The claim, and what the new home writes: no crowd of others.
+    # The claim, and what the new leader writes: no crowd of others.
     assert cell.store.n_writes - before <= 6
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 @pytest.mark.parametrize("kind", ["silent", "status"])
 def test_instances_cut_off_from_the_store_find_the_next_leader(monkeypatch, kind, safeguard):
-    """The home and one more instance do not reach the store for some seconds; the others do.
+    """The leader and one more instance do not reach the store for some seconds; the others do.
 
-    The next home's name stands in the store, which those two cannot read. They refused all jobs
+    The next leader's name stands in the store, which those two cannot read. They refused all jobs
     until the store answered them again; a client came back a second later, too late for a quick
-    job. Now they ask the successors that the last home has named.
+    job. Now they ask the successors that the last leader has named.
     """
     if not safeguard:
         monkeypatch.setattr(_links, "MAX_ADDRESSES", 0)
--- a/anvilflow/cell/tests/test_registry.py
+++ b/anvilflow/cell/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Another program writes into the workers' registry; homes change meanwhile."""
+"""Another program writes into the workers' registry; leaders change meanwhile."""
 
 import pytest
 from logbook import TestHandler as LogRecorder
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_entry_that_names_no_worker_does_not_delay_a_take_over(monkeypatch, safeguard):
-    """Another program writes an entry again and again, also just before the home dies.
+    """Another program writes an entry again and again, also just before the leader dies.
 
-    The next home finds in the registry's history that the entry has changed. The home's row says
-    that it never was a worker's. Without that its tasks might run on, nobody knows where, and the
-    waiting tasks of all jobs wait until every lease has ended, 3.8 s.
+    The next leader finds in the registry's history that the entry has changed. The leader's row
+    says that it never was a worker's. Without that its tasks might run on, nobody knows where, and
+    the waiting tasks of all jobs wait until every lease has ended, 3.8 s.
     """
     if not safeguard:
         monkeypatch.setattr(_registry.Registry, "read", _forget_nameless)
@@ -73,9 +73,10 @@
 @pytest.mark.parametrize("change", BROKEN)
 @pytest.mark.parametrize("with_take_over", [False, True])
 def test_tasks_on_a_worker_whose_entry_is_overwritten_are_kept(change, with_take_over):
-    """A busy worker's entry is overwritten; then, perhaps, the home dies.
+    """A busy worker's entry is overwritten; then, perhaps, the leader dies.
 
-    Its tasks run to their ends, once each. The home holds the worker on, and names it for the next.
+    Its tasks run to their ends, once each. The leader holds the worker on, and names it for the
+    next.
     """
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit(cell.other(), JOB, {"count": 6, "cpu": 4000}, spec="4.0 done 4000")
@@ -93,11 +94,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_entry_overwritten_as_the_leader_dies_hides_no_tasks(monkeypatch, safeguard):
-    """A worker's entry is overwritten in the moment in which the home dies: no home has seen it.
+    """A worker's entry is overwritten at the moment when the leader dies: no leader has seen it.
 
-    The next home cannot know where the worker is. It finds in the registry's history that an entry
-    has changed to what names nobody, and waits for that worker's leases before it starts what may
-    run there. Taken for an entry like any other, the task ran a second time beside the first.
+    The next leader cannot know where the worker is. It finds in the registry's history that an
+    entry has changed to what names nobody, and waits for that worker's leases before it starts what
+    may run there. Taken for an entry like any other, the task ran a second time beside the first.
     """
     if not safeguard:
         monkeypatch.setattr(
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -1,11 +1,11 @@
-"""A home with too little processor for a burst.
+"""A leader with too little processor for a burst.
 
-A burst of quick jobs reaches a home with an eighth of a core. It does all that it is asked to, but
-late: its heartbeats come after half a second, answers of workers wait to be read. The others took
-it for dead, and its successor had to read all tables and hear all workers on top of the same burst;
-that one was taken for dead a second later, and so on until the end of the day.
+A burst of quick jobs reaches a leader with an eighth of a core. It does all that it is asked to,
+but late: its heartbeats come after half a second, answers of workers wait to be read. The others
+took it for dead, and its successor had to read all tables and hear all workers on top of the same
+burst; that one was taken for dead a second later, and so on until the end of the day.
 
-Evidence. The log of a quiet day at a sixth of its size, with eight times less processor: the home
+Evidence. The log of a quiet day at a sixth of its size, with eight times less processor: the leader
 stood from 12.9 s before the first job until the first burst; from 4 s on the others log "home
 writes but is not reached", at 8.3 s one claims with "home does not write" and is replaced 0.2 s
 after it began. 130 jobs were lost; without a limit of processor none was.
@@ -76,7 +76,7 @@
 
 
 def test_lag_of_a_process_that_was_paused_is_bounded():
-    """A machine was suspended for a minute: nobody waits a minute for its home afterwards."""
+    """A machine was suspended for a minute: nobody waits a minute for its leader afterwards."""
     lag = LagMeter(period=0.2)
     lag.called(0.0)
     lag.called(60.0)
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_that_is_late_does_not_take_the_store_for_away(monkeypatch, safeguard):
-    """Answers of the store wait for their turn to be read, and the home offered its place."""
+    """Answers of the store wait for their turn to be read, and the leader offered its place."""
     if not safeguard:
         monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
     monkeypatch.setattr(LagMeter, "called", lambda self, now: setattr(self, "lag_s", 0.6))
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -1,13 +1,13 @@
 """Take-overs by instances whose links are slow.
 
-The home of a large cell dies late in the day. A successor on a link of 5 Mbit/s reads the rows of
+The leader of a large cell dies late in the day. A successor on a link of 5 Mbit/s reads the rows of
 all jobs, which takes it seconds. It said nothing meanwhile, so that the next one took it for dead
-after half a second and claimed, and the next: eight homes followed one another within 6 s, none of
-which had started a task.
+after half a second and claimed, and the next: eight leaders followed one another within 6 s, none
+of which had started a task.
 
 Evidence. Found by asking where else a limit is shorter than a transfer whose size others decide:
-800 jobs make 0.5 MB, and the holder in the home's row changed at 0.4, 1.4, 1.9, 2.9, 3.5, 4.4, 5.0
-and 6.0 s after the death.
+800 jobs make 0.5 MB, and the holder in the leader's row changed at 0.4, 1.4, 1.9, 2.9, 3.5, 4.4,
+5.0 and 6.0 s after the death.
 """
 
 import pytest
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_instances_stay_connected_to_a_leader_that_loads(monkeypatch, safeguard):
-    """A home that only writes that it lives is left and dialled again, over a link that is full."""
+    """A leader that only writes that it lives is left and dialled again, over a full link."""
     if not safeguard:
         monkeypatch.setattr(LeaderPart, "is_loading", False)
     cell = _cell_with_many_jobs(8)
@@ -93,9 +93,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_successor_is_one_on_a_fast_link(monkeypatch, safeguard):
-    """The home dies; of seven instances that are left one has a fast link.
+    """The leader dies; of seven instances that are left one has a fast link.
 
-    By their names another one came first. A home on a link of 5 Mbit/s reads 0.5 MB for a second
+    By their names another one came first. A leader on a link of 5 Mbit/s reads 0.5 MB for a second
     and more before it starts anything, and its own messages nearly fill the link.
     """
     if not safeguard:
@@ -134,8 +134,8 @@
     on fast links come first; a step is two readings of the store, 0.8 s each where it is a hundred
     times as slow, and no instance had a fast link.
 
-    Evidence. Found by reading; in a trial the first home began after 0.8 s, with answers of 0.25 s
-    after 7.1 s, of 0.4 s after 10.9 s; without the ten steps after 1.5 and 2.3 s.
+    Evidence. Found by reading; in a trial the first leader began after 0.8 s, with answers of 0.25
+    s after 7.1 s, of 0.4 s after 10.9 s; without the ten steps after 1.5 and 2.3 s.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "WEAK_RANKS", 10)
@@ -152,7 +152,7 @@
 
 
 def _leader_that_one_instance_does_not_reach():
-    """Let a home die and its successor load; return the cell, the home and the former term."""
+    """Let a leader die and its successor load; return the cell, the leader and the former term."""
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
         cell.wire.slow_link(name, SLOW)
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leaders_that_are_late_do_not_take_each_others_place_for_ever(monkeypatch, safeguard):
-    """A home that is short of processor writes nothing for a while, and so does each after it."""
+    """A leader that is short of processor writes nothing for a while, and so does each after it."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
     monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
@@ -186,9 +186,9 @@
     nothing while it loaded: the two took turns for as long as the cut lasted, each deposed before
     it had started a task. Over a full link a connection takes longer than its 0.4 s, too.
 
-    Evidence. Found by asking whether a cut may do while a home loads what it may not do later; in a
-    trial the home changed by 1.4, 2.6, 3.6, 4.6 and 5.6 s. In a play, 13 calls to the home over
-    full links had no answer within 0.4 s.
+    Evidence. Found by asking whether a cut may do while a leader loads what it may not do later; in
+    a trial the leader changed by 1.4, 2.6, 3.6, 4.6 and 5.6 s. In a play, 13 calls to the leader
+    over full links had no answer within 0.4 s.
     """
     if not safeguard:
         monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
@@ -201,13 +201,13 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_that_loads_for_too_long_offers_its_place(monkeypatch, safeguard):
-    """The link of a new home is squeezed to 5 kB a second just after its claim.
+    """The link of a new leader is squeezed to 5 kB a second just after its claim.
 
     Its answers never pause for long, so that its reading neither fails nor ends for half a minute.
     It says all the while that it lives, and no other instance may begin: callers wait.
 
     Evidence. Found by asking what an answer that trickles may hold for ever; in a trial with 200
-    jobs the cell had no home for 51 s.
+    jobs the cell had no leader for 51 s.
     """
     monkeypatch.setattr(_slow_link, "WINDOW_BYTES", 100)
     if not safeguard:
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_is_found_where_all_load_for_long(monkeypatch, safeguard):
-    """All links are squeezed, and each home needs 25 s; a fixed limit would end them all."""
+    """All links are squeezed, and each leader needs 25 s; a fixed limit would end them all."""
     if not safeguard:
         monkeypatch.setattr(_loading_heartbeat, "MAX_DOUBLINGS", 0)
     cell = _cell_with_many_jobs(5, n_jobs=200)
@@ -265,13 +265,13 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_loads_over_links_on_which_answers_queue(monkeypatch, safeguard):
-    """The home dies; all links are narrow, and the rows of all jobs make 0.6 MB.
+    """The leader dies; all links are narrow, and the rows of all jobs make 0.6 MB.
 
-    A home reads 35 answers at once. Each waits for the windows of all others, so that some pause
-    for longer than a silent connection may, and all are given up. The home offers its place, and
+    A leader reads 35 answers at once. Each waits for the windows of all others, so that some pause
+    for longer than a silent connection may, and all are given up. The leader offers its place, and
     the next one does the same: no job is served any more, and the callers' tasks are not started.
 
-    Evidence. The log of a day on links of 2 Mbit/s: 17 homes within 13 s, each with "jobs not
+    Evidence. The log of a day on links of 2 Mbit/s: 17 leaders within 13 s, each with "jobs not
     loaded, no answer in time" 0.8 s after its claim, and 121 jobs lost.
     """
     if not safeguard:
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -103,7 +103,7 @@
 
 
 def test_starts_wait_while_nothing_may_be_ordered():
-    """A home that may have lost its place must neither send starts nor lose them."""
+    """A leader that may have lost its place must neither send starts nor lose them."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=2)
     leader.may_send_commands = False
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -1,4 +1,4 @@
-"""The home belongs on an instance that bears it, where instances differ fourfold and more."""
+"""The leader belongs on an instance that bears it, where instances differ fourfold and more."""
 
 import pytest
 
@@ -37,7 +37,7 @@
 
 
 def test_strongest_instance_on_a_link_that_bears_a_leader_comes_first():
-    """Links of 20 and 200 Mbit/s both bear a home; one of 5 Mbit/s does not."""
+    """Links of 20 and 200 Mbit/s both bear a leader; one of 5 Mbit/s does not."""
     hellos = [
         make_hello("narrow", link_mbps=5, cpu_milli=4000),
         make_hello("weak", link_mbps=200, cpu_milli=516),
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("cpu_milli", [None, 0, -5, 2_000_000_000])
 def test_instance_that_tells_an_impossible_strength_counts_as_the_weakest(cpu_milli):
-    """It may still become the home, after all others."""
+    """It may still become the leader, after all others."""
     liar = make_hello("liar", cpu_milli=cpu_milli)
     assert reported_cpu_milli(liar) == 0
     assert [hello.instance for hello in rank_candidates([liar, make_hello("z", cpu_milli=1)])][
@@ -61,7 +61,7 @@
     [{}, {"cpu_share": 0.5}, {"cores": 2}, {"cpu_share": 0.0, "cores": 2}, {"cpu_share": -1.0}],
 )
 def test_settings_without_a_strength_count_as_a_whole_core(values):
-    """Share or cores are missing, zero or negative: such an instance may be the home."""
+    """Share or cores are missing, zero or negative: such an instance may be the leader."""
     assert make_settings(**values).cpu_milli == 1000
 
 
@@ -72,7 +72,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_successor_is_one_with_much_processor(monkeypatch, safeguard):
-    """The home dies; of the instances that are left one has more than an eighth of a core."""
+    """The leader dies; of the instances that are left one has more than an eighth of a core."""
     if not safeguard:
         monkeypatch.setattr(_leader_eligibility, "reported_cpu_milli", lambda hello: 0)
     cell = make_cell(n_instances=4, weak=WEAK)
@@ -99,9 +99,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_that_is_late_gives_way_to_a_much_stronger_instance(monkeypatch, safeguard):
-    """A weak instance became the home while it was alone; a strong one came, and then a burst.
+    """A weak instance became the leader while it was alone; a strong one came, and then a burst.
 
-    The home does all that it is asked to, late, until the end of the day, beside one that could
+    The leader does all that it is asked to, late, until the end of the day, beside one that could
     do it in time.
     """
     if not safeguard:
--- a/anvilflow/cell/tests/test_unreadable_rows.py
+++ b/anvilflow/cell/tests/test_unreadable_rows.py
@@ -13,7 +13,7 @@
 @pytest.mark.parametrize("value", UNREADABLE_VALUES)
 @pytest.mark.parametrize("table", ["jobs", "progress", "ended"])
 def test_new_leader_serves_other_jobs_despite_an_unreadable_row(table, value):
-    """Guards against an unreadable row that stops each successive home."""
+    """Guards against an unreadable row that stops each successive leader."""
     cell = make_cell(n_instances=3)
     cell.submit("a0", OTHER_JOB, {"count": 1, "cpu": 1000}, spec="1.0 done 1000")
     cell.advance(0.2)
@@ -43,7 +43,7 @@
 
 
 def test_unreadable_row_written_later_does_not_stop_the_leader():
-    """Guards against a home that fails on an unreadable update of the jobs table."""
+    """Guards against a leader that fails on an unreadable update of the jobs table."""
     cell = make_cell(n_instances=3)
     leader = cell.leader()
     cell.store.put("jobs", "01000000000000c3", [], part="jobs-01")
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -1,4 +1,4 @@
-"""Tasks that are done while nobody can record it, and homes that change meanwhile."""
+"""Tasks that are done while nobody can record it, and leaders that change meanwhile."""
 
 import pytest
 from twisted.internet.defer import succeed
@@ -14,12 +14,12 @@
 def test_tasks_that_ended_in_an_outage_are_not_started_by_a_leader_that_knows_no_worker(
     monkeypatch, safeguard, n_more_homes
 ):
-    """The store is away for nine seconds: two tasks end, which their home hears and cannot record.
+    """The store is away for nine seconds: two tasks end, which the leader hears and cannot record.
 
     It goes on renewing the workers' leases while all their entries lapse, until it dies. The store
-    returns; for the next home the registry is empty, so that no worker seems to be unheard. When a
-    first worker registers again, idle, the tasks are started on it; those with the ends register a
-    second later. Evidence: the users' record, in which the entries lapse, and the second run is
+    returns; for the next leader the registry is empty, so that no worker seems to be unheard. When
+    a first worker registers again, idle, the tasks are started on it; those with the ends register
+    a second later. Evidence: the users' record, in which the entries lapse, and the second run is
     stopped as soon as the first worker is heard.
     """
     if not safeguard:
@@ -51,11 +51,11 @@
 def test_task_that_is_done_before_the_next_leader_hears_of_its_job_is_not_started_again(
     monkeypatch, safeguard
 ):
-    """A job is accepted while homes change: the former home starts it, the next one has read the
-    table before.
+    """A job is accepted while leaders change: the former leader starts it, the next has read
+    the table before.
 
-    The task is done at once. The next home hears of the end, then of the job. Were the worker told
-    to forget the end of an unknown job, the task would be started a second time.
+    The task is done at once. The next leader hears of the end, then of the job. Were the worker
+    told to forget the end of an unknown job, the task would be started a second time.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_take_up", lambda self, job, now: [])
@@ -104,12 +104,12 @@
 def test_job_accepted_while_leaders_change_is_not_started_beside_its_run_on_an_unheard_worker(
     monkeypatch, safeguard
 ):
-    """The store leaves the home alone, another instance claims, and then a job is accepted.
+    """The store leaves the leader alone, another instance claims, and then a job is accepted.
 
-    The entry tells the former home, which may order for some tenths of a second yet: it starts the
-    job, also on a worker that the new home does not reach. The new home waited until the former one
-    ordered nothing more, and started the tasks elsewhere while they ran. Evidence: spans of the
-    first run of this test, 1 at 3.155 s and again as 1 at 3.88 s.
+    The entry tells the former leader, which may order for some tenths of a second yet: it starts
+    the job, also on a worker that the new leader does not reach. The new leader waited until the
+    former one ordered nothing more, and started the tasks elsewhere while they ran. Evidence: spans
+    of the first run of this test, 1 at 3.155 s and again as 1 at 3.88 s.
     """
     if not safeguard:
         monkeypatch.setattr(GracePeriod, "may_have_begun", _only_what_was_there)
@@ -140,10 +140,10 @@
 def test_job_accepted_after_the_former_leaders_commands_waits_for_no_unheard_worker(
     monkeypatch, safeguard
 ):
-    """The home and a worker die together; 0.9 s after the take-over a job is accepted.
+    """The leader and a worker die together; 0.9 s after the take-over a job is accepted.
 
-    No former home can have started it, so that it waits for nobody: it starts within 0.05 s. Told
-    apart by the time at which the next home hears of jobs, or not at all, it would wait until the
+    No former leader can have started it, so that it waits for nobody: it starts within 0.05 s. Told
+    apart by the time at which the next leader hears of jobs, or not at all, it would wait until the
     worker's leases have ended.
     """
     if not safeguard:
@@ -166,7 +166,7 @@
     """The store takes 0.3 s; a task's end is being recorded when a client cancels the job.
 
     The record that was on its way is done, and it says nothing of the cancelling. It was taken for
-    the record of the job's end: the client heard 200, and a home that died then had lost it.
+    the record of the job's end: the client heard 200, and a leader that died then had lost it.
     """
     cell = make_cell(n_instances=3, n_workers=3)
     leader = cell.leader()
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_warm_tables.py
@@ -1,4 +1,4 @@
-"""Tables that the next homes follow before they claim."""
+"""Tables that the next leaders follow before they claim."""
 
 import pytest
 
@@ -76,7 +76,7 @@
 
 
 def test_history_that_is_gone_has_the_tables_read_anew():
-    """A home must not begin on rows that changes are missing from."""
+    """A leader must not begin on rows that changes are missing from."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
     cell.store.put("jobs", "unreadable", 1, part="jobs-00")
--- a/anvilflow/cell/tests/test_whole_path.py
+++ b/anvilflow/cell/tests/test_whole_path.py
@@ -120,7 +120,7 @@
 
 
 def test_only_allowed_workers_get_tasks_and_asks_are_spread():
-    """Two of four workers are allowed; each start carries a ticket, and others ask for the home."""
+    """Two of four workers are allowed; each start has a ticket, and others ask for the leader."""
     advice = AdviceServer(clock=None, allowed={"i-1", "i-2"}, base_s=0.1)
     rules = {"decide-ms": 100, "each-ms": 1, "valid-ms": 2500}
     cell = make_cell(advice=advice, config=make_platform_config(advice=rules))
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -12,10 +12,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_commands_of_a_former_leader_that_arrive_late_do_nothing(monkeypatch, safeguard):
-    """The home's starts are on their way when it dies; another home starts the tasks elsewhere.
+    """The leader's starts are on their way when it dies; another leader starts the tasks elsewhere.
 
-    Then the old orders arrive. They carry the former home's token, and the worker has seen a higher
-    one. Were the tokens of both homes alike, the tasks would run twice.
+    Then the old orders arrive. They carry the former leader's token, and the worker has seen a
+    higher one. Were the tokens of both leaders alike, the tasks would run twice.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
@@ -35,9 +35,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_on_an_unheard_worker_is_not_started_elsewhere(monkeypatch, safeguard):
-    """The home dies while a worker is cut off and runs on: nobody can say what runs there.
+    """The leader dies while a worker is cut off and runs on: nobody can say what runs there.
 
-    The next home waits until every lease that was sent has surely ended. Without the wait it
+    The next leader waits until every lease that was sent has surely ended. Without the wait it
     starts the tasks a second time while they still run.
     """
     if not safeguard:
@@ -170,7 +170,7 @@
     """A worker drains and stays seconds longer than the least time that it gave.
 
     It does not reach the store, so that its entry lapses; its tasks run on under their leases. Then
-    its answers are lost for a second. The home took it for gone and started the tasks elsewhere.
+    its answers are lost for a second. The leader took it for gone and started the tasks elsewhere.
     Evidence: the platform's page calls the time a minimum, and entries lapse while the store is
     down.
     """
@@ -224,7 +224,7 @@
     forgotten.
 
     It answers again, and a moment later it is registered. The session of before went on beside the
-    new one: twice as many holds, and nobody would have ended it with its home. It would have made
+    new one: twice as many holds, and nobody would have ended it with its leader. It would have made
     the instance give up a later term, for the worker refuses the old token then.
     """
     cell = make_cell(n_instances=3, n_workers=3)
@@ -247,7 +247,7 @@
 def test_worker_that_comes_back_after_its_lease_is_held_once(monkeypatch, safeguard):
     """A worker is dark and its entry lapses; it answers again before it is given up, and registers.
 
-    The home had forgotten the worker with its lease, and the session went on: it renewed leases,
+    The leader had forgotten the worker with its lease, and the session went on: it renewed leases,
     and what the worker listed was not heard by anybody. Registered again, the worker had two.
     """
     if not safeguard:
--- a/anvilflow/decisions/_job_coordinator.py
+++ b/anvilflow/decisions/_job_coordinator.py
@@ -1,4 +1,4 @@
-"""What the home of a customer's jobs decides: which tasks to place, start, repeat and end."""
+"""What the coordinator of a customer's jobs decides: which tasks to place, start, repeat, end."""
 
 from collections import deque
 from enum import StrEnum
@@ -113,7 +113,7 @@
 
 
 class _JobRun:
-    """A job at its home."""
+    """A job at its coordinator."""
 
     __slots__ = (
         "age",
@@ -178,8 +178,8 @@
 
     Notes
     -----
-    One home per customer makes the quota exact without a message: every task of the customer is
-    counted here, from the moment its place is asked until its end is known.
+    One coordinator per customer makes the quota exact without a message: every task of the customer
+    is counted here, from the moment its place is asked until its end is known.
     """
 
     __slots__ = (
--- a/anvilflow/decisions/_owner.py
+++ b/anvilflow/decisions/_owner.py
@@ -41,7 +41,7 @@
     reserve : float, default=0.25
         Share of each worker that tasks leave free for service requests.
     hold_s : float, default=3.0
-        How long a granted hold stays without a sign of its home. Unit: seconds.
+        How long a granted hold stays without a sign of its coordinator. Unit: seconds.
 
     Attributes
     ----------
@@ -279,7 +279,7 @@
         """Turn a granted hold into a started task; return its worker, or None without a hold.
 
         A start that comes late, after the hold ran out or was revoked, thereby never runs: the
-        home may meanwhile have placed the task elsewhere.
+        coordinator may meanwhile have placed the task elsewhere.
         """
         held = self._held.pop(hold_id, None)
         if held is None:
@@ -451,7 +451,7 @@
         """Account a task that runs.
 
         Its own ask may still wait here, made before its start through another owner was heard of.
-        Granted now, and then released by its home, it would free the running task's place.
+        Granted now, and then released by its coordinator, it would free the running task's place.
         """
         self._hold_queue.remove(hold_id)
         if hold_id in self._held:
--- a/anvilflow/decisions/_ownership.py
+++ b/anvilflow/decisions/_ownership.py
@@ -1,4 +1,4 @@
-"""Which live instance owns a worker or is home of a customer's jobs.
+"""Which live instance owns a worker or is coordinator of a customer's jobs.
 
 Rendezvous hashing (Thaler and Ravishankar, 1998): every instance works the answer out alone from
 the list of live instances, and when one instance leaves only what it had moves.
--- a/anvilflow/decisions/tests/test_owner.py
+++ b/anvilflow/decisions/tests/test_owner.py
@@ -15,8 +15,8 @@
 def test_waiting_ask_of_a_running_task_does_not_free_its_place():
     """An ask waits at an owner for a task that meanwhile runs on the worker it takes over.
 
-    The home gives the ask up. Were it granted on the place that the task has, giving it up would
-    free that place and the worker would be given more than it holds. (Chaos seed 863.)
+    The coordinator gives the ask up. Were it granted on the place that the task has, giving it up
+    would free that place and the worker would be given more than it holds. (Chaos seed 863.)
     """
     scheduler = OwnerScheduler(reserve=0.0)
     scheduler.add_worker(WorkerAllocation(worker="w1", capacity=CAPACITY), 0.0)
--- a/anvilflow/jobs/_actions.py
+++ b/anvilflow/jobs/_actions.py
@@ -4,7 +4,7 @@
 
 
 class StartRun(Struct, kw_only=True):
-    """Start a task on a worker; `payload` is left out where the home does not hold it."""
+    """Start a task on a worker; `payload` is left out where the leader does not hold it."""
 
     worker_id: str
     task: str
--- a/anvilflow/jobs/_crash_history.py
+++ b/anvilflow/jobs/_crash_history.py
@@ -32,7 +32,7 @@
 #: Backoff before the start that follows a second loss; doubles with each loss. Unit: seconds.
 FIRST_BACKOFF_S = 1.0
 
-#: Maximum age of a recorded start, when a new home takes over, at which the loss of its worker
+#: Maximum age of a recorded start, when a new leader takes over, at which the loss of its worker
 #: counts as an early crash. Allows for the duration of the takeover. Unit: seconds.
 MAX_RECORDED_START_AGE_S = EARLY_CRASH_S + 1.0
 
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -66,7 +66,7 @@
         return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
 
     def adopt_unconfirmed_runs(self, worker_id, runs, now):
-        """Take on what an earlier home named as running on a worker that it could not reach.
+        """Take on what an earlier leader named as running on a worker that it could not reach.
 
         The tasks stay there until the worker answers or its lease has surely ended; all others need
         not wait for it.
@@ -239,7 +239,7 @@
         suspect.step.job.wake()
 
     def restore_suspects(self, job):
-        """Restore the suspects of a job from the histories recorded by an earlier home."""
+        """Restore the suspects of a job from the histories recorded by an earlier leader."""
         for step in job.steps.values():
             for task in step.tasks:
                 if task.crash_history is not None:
--- a/anvilflow/jobs/_grace_period.py
+++ b/anvilflow/jobs/_grace_period.py
@@ -1,40 +1,40 @@
-"""When the orders of earlier homes can do nothing any more."""
+"""When the orders of earlier leaders can do nothing any more."""
 
 from ._worker import lease_end
 
-#: Time for which a home may go on ordering after it last knew that it is the home: from a write
+#: Time for which a leader may go on ordering after it last knew that it is the leader: from a write
 #: under its row, or from more than half of its workers, which took its token. Workers are held each
 #: half second, and twice as often while the store is away. Unit: seconds.
 COMMAND_S = 0.7
 
-#: Time after which a home that has not heard more than half of the workers waits no longer: those
+#: Time after which a leader that has not heard more than half of the workers waits no longer: those
 #: that are gone for good must not keep it waiting for ever. Unit: seconds.
 LONGEST_S = 15.0
 
 
 class GracePeriod:
-    """What a new home must wait for before it may start what an earlier one may have started.
+    """What a new leader must wait for before it may start what an earlier one may have started.
 
     Parameters
     ----------
     term : int
-        How many homes there were, this one included.
+        How many leaders there were, this one included.
     lease_s, now : float
         Unit: seconds.
     n_workers : int, default=0
-        Workers that the former home held.
+        Workers that the former leader held.
     missing : frozenset of str, default=frozenset()
-        Workers that have left the registry since the former home last wrote about it. They may run
-        on, and nobody knows where they are.
+        Workers that have left the registry since the former leader last wrote about it. They may
+        run on, and nobody knows where they are.
     is_known : bool, default=True
         Whether the registry's history reaches back that far.
 
     Notes
     -----
-    A former home that lives and is cut off goes on for :data:`COMMAND_S` after it last knew that it
-    is the home. Two homes cannot both hear more than half of the workers: one that took the new
-    token refuses the old one. So `COMMAND_S` after this home has heard that many, no order of a
-    former home is sent any more, and a lease later none is in force.
+    A former leader that lives and is cut off goes on for :data:`COMMAND_S` after it last knew that
+    it is the leader. Two leaders cannot both hear more than half of the workers: one that took the
+    new token refuses the old one. So `COMMAND_S` after this leader has heard that many, no order of
+    a former leader is sent any more, and a lease later none is in force.
     """
 
     def __init__(self, *, term, lease_s, now, n_workers=0, missing=frozenset(), is_known=True):
@@ -70,7 +70,7 @@
         return False
 
     def row_written(self, version, sent_at):
-        """Take the version of the home's row by a write that was sent at `sent_at`."""
+        """Take the version of the leader's row by a write that was sent at `sent_at`."""
         commands_expired = (
             self.commands_expired_at is not None and sent_at >= self.commands_expired_at
         )
@@ -78,10 +78,10 @@
             self.commands_expired_version = version
 
     def may_have_begun(self, version):
-        """Whether an earlier home may have begun a job, by the version of the job's row.
+        """Whether an earlier leader may have begun a job, by the version of the job's row.
 
-        Also one that was accepted after this home began: until its orders are over, a former home
-        may be told of it and start it on a worker that this one does not reach.
+        Also one that was accepted after this leader began: until its orders are over, a former
+        leader may be told of it and start it on a worker that this one does not reach.
         """
         return self.commands_expired_version is None or version <= self.commands_expired_version
 
@@ -90,7 +90,7 @@
         self.leases_over_at = lease_end(self.commands_expired_at, self.lease_s)
 
     def is_over(self, now):
-        """Whether nothing runs any more that an earlier home has started and nobody has listed."""
+        """Whether nothing runs any more that an earlier leader started and nobody has listed."""
         return self.leases_over_at is not None and now >= self.leases_over_at
 
     @property
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -1,4 +1,4 @@
-"""What the next home could not find out by itself about workers, for the home's row."""
+"""What the next leader could not find out by itself about workers, for the leader's row."""
 
 from msgspec import Struct
 
@@ -10,14 +10,14 @@
 UNREACHABLE_S = 0.1
 
 #: Workers and runs in the row at the most: some 45 KB of the 64 KB that a row holds. A larger row
-#: would be refused, and with it all that the home records. Those left out only make the next home
-#: wait for their leases.
+#: would be refused, and with it all that the leader records. Those left out only make the next
+#: leader wait for their leases.
 MAX_WORKERS = 60
 MAX_RUNS = 600
 
 
 class HandoverWorker(Struct, kw_only=True):
-    """A worker that the next home cannot ask, or would not find in the registry.
+    """A worker that the next leader cannot ask, or would not find in the registry.
 
     Parameters
     ----------
@@ -36,7 +36,7 @@
 def make_handover(scheduler, now):
     """Return the :class:`HandoverWorker` of each worker that is dark or not registered any more.
 
-    The list is exact: it is written under the home's row, and a worker in it gets no task before
+    The list is exact: it is written under the leader's row, and a worker in it gets no task before
     a row without it is durable.
     """
     handover = []
@@ -53,10 +53,10 @@
 
 
 def _is_hidden(worker):
-    """Whether the next home would not find the worker by itself.
+    """Whether the next leader would not find the worker by itself.
 
-    Also one that has not answered this home: it is known from the former home's row alone, and the
-    next home would start its tasks again while they still run.
+    Also one that has not answered this leader: it is known from the former leader's row alone, and
+    the next leader would start its tasks again while they still run.
     """
     return not worker.listed
 
--- a/anvilflow/jobs/_job.py
+++ b/anvilflow/jobs/_job.py
@@ -1,4 +1,4 @@
-"""State of one job at the home: occurrences, steps and tasks."""
+"""State of one job at the leader: occurrences, steps and tasks."""
 
 from enum import StrEnum
 
@@ -131,9 +131,9 @@
     now, wall_now : float
         Steady time and time of day. Unit: seconds.
     record : JobRecord, default=None
-        Progress that an earlier home wrote.
+        Progress that an earlier leader wrote.
     inherited : bool, default=False
-        Whether an earlier home may have started tasks of it.
+        Whether an earlier leader may have started tasks of it.
     """
 
     __slots__ = (
@@ -215,7 +215,7 @@
     def suspend_if_idle(self):
         """Leave the job out of plans until something happens to it: nothing of it waits.
 
-        Most jobs run. To look at each of their tasks after every event took a home of 950 workers
+        Most jobs run. To look at each of their tasks after every event took a leader of 950 workers
         and 14,000 tasks 6.9 ms.
         """
         self.is_idle = not any(
@@ -245,9 +245,9 @@
         return opened
 
     def is_to_open(self, name):
-        """Whether a task is of an occurrence that is not due yet by the clock of this home.
+        """Whether a task is of an occurrence that is not due yet by the clock of this leader.
 
-        The clocks of instances differ, and a former home may have begun the occurrence.
+        The clocks of instances differ, and a former leader may have begun the occurrence.
         """
         try:
             _, occurrence, _, _ = name.split(".")
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -8,8 +8,8 @@
 from ._stalled_runs import note_duration
 from ._worker import OrphanRun, PendingEnd
 
-#: Runs that one home may start of a task before another home's numbers begin. A new home does not
-#: know how many its predecessor started, and a worker refuses a number that is not higher.
+#: Runs that one leader may start of a task before another leader's numbers begin. A new leader does
+#: not know how many its predecessor started, and a worker refuses a number that is not higher.
 RUNS_PER_TERM = 1000
 
 #: Pause between tries to start tasks of a job whose payload the store does not have. Unit: seconds.
@@ -21,7 +21,7 @@
 MAX_BACKOFF_S = 8.0
 
 #: Doublings after which it is the longest in any case: unbounded, the power passed what a float
-#: holds after 1,025 bad ends in a row, and the home ended with an OverflowError.
+#: holds after 1,025 bad ends in a row, and the leader ended with an OverflowError.
 MAX_DOUBLINGS = 4
 
 #: Ends without success in a row after which a worker rests. Two may be one job's own fault.
@@ -31,7 +31,7 @@
 ENDS_PER_REPORT = 500
 
 #: Time that a run of an unknown job goes on before it is stopped: the job may have been accepted
-#: while homes changed, and is heard of by the next reading of the feed. Unit: seconds.
+#: while leaders changed, and is heard of by the next reading of the feed. Unit: seconds.
 UNKNOWN_JOB_S = 1.5
 
 
@@ -96,7 +96,7 @@
         return self._adopt(worker, item, run, now)
 
     def _adopt(self, worker, item, known, now):
-        """Take on a run that another home started, or stop it when it has no place here."""
+        """Take on a run that another leader started, or stop it when it has no place here."""
         step, task = self.find_task(item.task)
         wanted = (
             known is None
@@ -129,7 +129,7 @@
     def _may_be_heard_of(self, job_id):
         """Whether a job is unknown, and may yet come with the next reading of the feed.
 
-        Runs of ended jobs must not wait for that: a home that takes over after a cancelling would
+        Runs of ended jobs must not wait for that: a leader that takes over after a cancelling would
         let them run on, and so would each one after it.
         """
         return not self.has_job(job_id)
@@ -159,7 +159,7 @@
         return actions
 
     def _adopt_orphan_runs(self, job, now):
-        """Take on what a former home started of a job that is only heard of now.
+        """Take on what a former leader started of a job that is only heard of now.
 
         Without it the job's tasks would be started a second time while the first runs go on.
         """
@@ -223,14 +223,14 @@
             task.runs.pop(worker.info.worker_id, None)
             self.forget_placed(run, now)
         actions = self._settle_end(worker, step, task, end, run, now)
-        # Also of a job that has ended, until that is durable: a home that takes over before knows
+        # Also of a job that has ended, until that is durable: a leader that takes over before knows
         # neither of the job's end nor of this one, and would run the task again.
         if step.job.change > step.job.recorded_change:
             worker.ack_queue.append(PendingEnd(end=end, change=step.job.change, now=now))
         return actions
 
     def _settle_end(self, worker, step, task, end, run, now):
-        """Count the end of a task's run; `run` is None when this home has not known the run."""
+        """Count the end of a task's run; `run` is None when this leader has not known the run."""
         task.run_id = max(task.run_id, end.run_id)
         actions = []
         if not step.job.is_ended:
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -17,7 +17,7 @@
 
 
 class Scheduler(RunTracker):
-    """The jobs and workers of a cell, as the home sees them.
+    """The jobs and workers of a cell, as the leader sees them.
 
     Inputs are methods that take what happened and the time; outputs are lists of actions. Nothing
     here reads a clock or a socket.
@@ -25,23 +25,23 @@
     Parameters
     ----------
     term : int
-        How many homes there were, this one included.
+        How many leaders there were, this one included.
     lease_s, stop_s : float
         Length of the leases that are sent, and the longest time that a stop takes. Unit: seconds.
     now : float
-        When this home took over. Unit: seconds.
+        When this leader took over. Unit: seconds.
     n_advice_callers : int, default=1
         Advice calls that may be under way at once.
     grace_period : GracePeriod, default=None
-        What is left of earlier homes; None: what only the term tells.
+        What is left of earlier leaders; None: what only the term tells.
     policy : SchedulingPolicy, default=None
         What it prefers; None: the defaults.
 
     Notes
     -----
-    Starts are not recorded. A new home learns from each worker what runs there before it starts
-    anything on it, and the worker refuses the former home from then on. What no worker lists may
-    still run on one that has not answered yet: a task that an earlier home may have started waits
+    Starts are not recorded. A new leader learns from each worker what runs there before it starts
+    anything on it, and the worker refuses the former leader from then on. What no worker lists may
+    still run on one that has not answered yet: a task that an earlier leader may have started waits
     until all have answered, or until the grace period is over, see `_grace_period`.
     """
 
@@ -89,10 +89,10 @@
         return True
 
     def _newer_queue(self, queue, config_version):
-        """Return a job's queue by the newer of two configurations: this home's and its entry's.
+        """Return a job's queue by the newer of two configurations: this leader's and its entry's.
 
-        An operator moved a queue to another service. A home that had not heard of it yet sent jobs
-        that came after the change, by an entry that had, to workers of the former one.
+        An operator moved a queue to another service. A leader that had not heard of it yet sent
+        jobs that came after the change, by an entry that had, to workers of the former one.
         """
         if self.config is None or self.config.version < config_version:
             return queue
@@ -184,7 +184,7 @@
     def _may_be_forgotten(self, pending):
         """Whether an end is durable, or of a job that certainly does not exist any more.
 
-        A job may have been accepted while homes changed, and its task be done before this home
+        A job may have been accepted while leaders changed, and its task be done before this leader
         hears of it. Its row was written before the task began, so that a reading of the jobs that
         was begun after the end was told shows it.
         """
@@ -298,7 +298,7 @@
         return self.policy.reserve_share if self.config.has_more_urgent(queue) else 0.0
 
     def may_start(self, job, now):
-        """Whether no earlier home can have a run of the job that nobody has listed yet.
+        """Whether no earlier leader can have a run of the job that nobody has listed yet.
 
         Nor may one whose tasks could not be started for want of their payload.
         """
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -58,7 +58,7 @@
     `suspects` are the tasks that were running on lost workers, by name. `trials` holds the task
     names of the trial runs by worker; no task of another job is started on these workers. Once a
     loss counts against a task, its next start is made durable before it is sent, so that a new
-    home can count a crash that coincides with the failure of the previous one.
+    leader can count a crash that coincides with the failure of the previous one.
     `is_store_unavailable` says that nothing can be recorded, `wall_offset_s` is the time of day
     minus the steady time.
     """
@@ -199,7 +199,7 @@
     def must_be_recorded(self, step, task):
         """Whether a start must be durable before it is sent.
 
-        This includes tasks that an earlier home may have started on a worker that never answered
+        This includes tasks that an earlier leader may have started on a worker that never answered
         this one.
         """
         history = task.crash_history
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -110,10 +110,10 @@
 
     `percent_clock` and `reported_clock` are the worker's time of the last progress and of the last
     report, None before the first one; `reported_at` is our time of the last report, and
-    `first_percent` the progress that the run began with. `is_whole` says that this home
+    `first_percent` the progress that the run began with. `is_whole` says that this leader
     started it, from nothing: only then its length is that of the task. `is_sent` says that the
     start was sent, `has_begun` that the worker has confirmed the run, `is_adopted` that another
-    home started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
+    leader started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
     """
 
     __slots__ = (
@@ -172,7 +172,7 @@
 
     @property
     def is_fresh(self):
-        """Whether the run had begun, under this home, shortly before it was last listed."""
+        """Whether the run had begun, under this leader, shortly before it was last listed."""
         return self.has_begun and not self.is_adopted and self.survived_s < EARLY_CRASH_S
 
     @property
@@ -194,9 +194,9 @@
     Room is counted from the decision to start until the end is listed: what is on its way or being
     stopped still takes its place, since the worker itself may not guard its capacity.
 
-    `runs_known` says that an earlier home named all that may run on a worker that has not answered
-    this one. `in_handover` says that the home's row names what runs here, see `_handover`.
-    `connection_refused` says that the last call's connection was refused.
+    `runs_known` says that an earlier leader named all that may run on a worker that has not
+    answered this one. `in_handover` says that the leader's row names what runs here, see
+    `_handover`. `connection_refused` says that the last call's connection was refused.
     """
 
     __slots__ = (
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -18,10 +18,10 @@
     ----------
     term : int
     lease_s, stop_s, now : float
-        Length of the leases, longest time that a stop takes, and when this home took over. Unit:
+        Length of the leases, longest time that a stop takes, and when this leader took over. Unit:
         seconds.
     grace_period : GracePeriod, default=None
-        What is left of earlier homes; None: what only the term tells.
+        What is left of earlier leaders; None: what only the term tells.
 
     Notes
     -----
@@ -73,13 +73,13 @@
         return _NEVER if over_at is None else over_at
 
     def _bound_unconfirmed_leases(self):
-        """All leases of earlier homes have an end now: those of unheard workers, too."""
+        """All leases of earlier leaders have an end now: those of unheard workers, too."""
         for worker in self.workers.values():
             if not worker.confirmed:
                 worker.lease_over_at = self.grace_period.leases_over_at
 
     def _confirm_worker(self, worker, now):
-        """Note that a worker has answered this home: it refuses every earlier one from now on."""
+        """Note that a worker has answered this leader: it refuses every earlier one from now on."""
         if worker.confirmed:
             return
         worker.confirmed = True
@@ -107,7 +107,7 @@
             worker.unreachable_since = now
 
     def note_handover(self, worker_ids):
-        """Note which workers the home's row names, now that it is durable."""
+        """Note which workers the leader's row names, now that it is durable."""
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
                 self.needs_whole_plan = True
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -260,7 +260,7 @@
 
 
 def test_start_of_a_suspect_waits_until_it_is_durable():
-    """Guards against a crash that the next home cannot count."""
+    """Guards against a crash that the next leader cannot count."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
--- a/anvilflow/jobs/tests/test_grace_period.py
+++ b/anvilflow/jobs/tests/test_grace_period.py
@@ -1,10 +1,10 @@
-"""When an earlier home can have begun a job, and until when its runs may go on."""
+"""When an earlier leader can have begun a job, and until when its runs may go on."""
 
 from anvilflow.jobs import COMMAND_S, GracePeriod
 
 
 def test_job_that_was_accepted_before_the_commands_of_former_leaders_were_over_may_have_begun():
-    """Jobs are told apart by the version of their rows, however late this home hears of them."""
+    """Jobs are told apart by the version of their rows, however late this leader hears of them."""
     grace_period = GracePeriod(term=2, lease_s=3.0, now=0.0, n_workers=3)
     grace_period.row_written(10, 0.1)
     grace_period.heard(2, 3, 0.2)
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -203,7 +203,7 @@
 
 
 def test_end_that_is_told_again_after_a_take_over_counts_once():
-    """A worker tells the next home of a failure that the record counts already."""
+    """A worker tells the next leader of a failure that the record counts already."""
     from anvilflow.jobs import JobRecord
 
     scheduler = make_scheduler(n_workers=1)
@@ -329,9 +329,9 @@
 
 
 def test_ended_job_is_not_taken_on_again_however_many_have_ended_since():
-    """The store's history is gone, and the home reads the rows of all jobs anew.
+    """The store's history is gone, and the leader reads the rows of all jobs anew.
 
-    They stay for minutes after their jobs' ends. A home that remembered only the last 2,000 ends
+    They stay for minutes after their jobs' ends. A leader that remembered only the last 2,000 ends
     took the older rows for new jobs and ran them a second time.
     """
     scheduler = make_scheduler()
@@ -353,7 +353,7 @@
 def test_plans_do_not_look_at_jobs_of_which_nothing_waits(monkeypatch, safeguard):
     """A hundred jobs run; one more event follows, and with it a plan.
 
-    Looked at again after each event, the running tasks of a large cell took most of the home's
+    Looked at again after each event, the running tasks of a large cell took most of the leader's
     processor, and every lookup waited for it.
     """
     if not safeguard:
@@ -384,9 +384,9 @@
 def test_end_of_a_task_waits_for_the_record_of_its_jobs_cancelling():
     """A job is cancelled while the store is away; one of its tasks is done before it is stopped.
 
-    Then the home goes. Nobody else knows of the cancelling, and the worker had been told to forget
-    the end: the next home ran the task a second time. The end stays with the worker until the
-    job's own end is durable.
+    Then the leader goes. Nobody else knows of the cancelling, and the worker had been told to
+    forget the end: the next leader ran the task a second time. The end stays with the worker until
+    the job's own end is durable.
     """
     scheduler = make_scheduler(n_workers=1)
     [start, other] = add_job(scheduler, StepSpec(n_tasks=2, cpu_milli=1000))
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -145,10 +145,10 @@
 
 @pytest.mark.parametrize("kind", ["taken on", "resumed"])
 def test_what_is_left_of_a_run_is_not_taken_for_a_whole_one(kind):
-    """A home takes runs on that are nearly done, and one of them ends a moment later.
+    """A leader takes runs on that are nearly done, and one of them ends a moment later.
 
     Its length here, 0.1 s, is no measure for its siblings. Taken for one, it made all of them look
-    slow after each change of homes, and they were stopped again and again.
+    slow after each change of leaders, and they were stopped again and again.
     """
     scheduler = make_scheduler(n_workers=5)
     step = StepSpec(n_tasks=5, cpu_milli=1000, estimate_s=4.0, max_per_worker=1)
@@ -166,7 +166,7 @@
 
 
 def test_run_that_is_taken_on_or_resumes_is_no_whole_one():
-    """Only a run that this home started from nothing has its whole length measured."""
+    """Only a run that this leader started from nothing has its whole length measured."""
     scheduler = make_scheduler()
     spec = JobSpec(
         job_id="00000000000000a1", queue="q", payload="", steps=(StepSpec(n_tasks=2, cpu_milli=1),)
@@ -185,7 +185,7 @@
 def test_worker_that_fails_for_very_long_goes_on_resting():
     """A worker fails all that it is given, some 1,100 tasks in a row.
 
-    Its rest is doubled each time; the power outgrew a float, and the home ended with an
+    Its rest is doubled each time; the power outgrew a float, and the leader ended with an
     OverflowError at the next end, as did each one after it that saw as many.
     """
     scheduler = make_scheduler(n_workers=1)
--- a/anvilflow/jobs/tests/test_spec.py
+++ b/anvilflow/jobs/tests/test_spec.py
@@ -58,7 +58,7 @@
 
 
 def test_row_of_a_job_leaves_out_what_is_as_usual():
-    """A new home reads the rows of all jobs: over a narrow link their names alone took seconds."""
+    """A new leader reads the rows of all jobs: over a narrow link the names alone took seconds."""
     spec = JobSpec(job_id="0" * 16, queue="q", payload="p", steps=(StepSpec(n_tasks=2),))
     row = encode(spec)
     assert decode(row, JobSpec) == spec
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -25,7 +25,7 @@
 
 
 def _scheduler_with_a_stale_run():
-    """A former home named a run of the task on a worker; by now a later one is on another."""
+    """A former leader named a run of the task on a worker; by now a later one is on another."""
     scheduler = make_scheduler(3)
     add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=20_000))
     task = scheduler.jobs["00000000000000a1"].steps[0, 0].tasks[0]
@@ -37,9 +37,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_waits_for_a_run_that_is_being_stopped_elsewhere(monkeypatch, safeguard):
-    """The home names a run on a worker that is dark, and loses the store before it is over.
+    """The leader names a run on a worker that is dark, and loses the store before it is over.
 
-    It starts the task again on a second worker. The next home knows the first run alone, has the
+    It starts the task again on a second worker. The next leader knows the first run alone, has the
     second one stopped, hears that the first one is over, and started a third beside the second.
     """
     if not safeguard:
--- a/anvilflow/jobs/tests/test_unknown_tasks.py
+++ b/anvilflow/jobs/tests/test_unknown_tasks.py
@@ -1,4 +1,4 @@
-"""Ends and runs of tasks that a new home does not know yet, without any network."""
+"""Ends and runs of tasks that a new leader does not know yet, without any network."""
 
 import pytest
 
@@ -33,10 +33,10 @@
 
 
 def test_end_of_a_job_that_is_heard_of_later_is_kept_and_counts():
-    """A job is accepted while homes change: the former home starts it, and it is done at once.
+    """A job is accepted while leaders change: the former leader starts it, and it is done at once.
 
-    The next home has read the jobs before. It hears of the end first, then of the job. Were the end
-    forgotten, the task would be started a second time.
+    The next leader has read the jobs before. It hears of the end first, then of the job. Were the
+    end forgotten, the task would be started a second time.
     """
     scheduler = make_scheduler()
     assert tell(scheduler, end_of(TASK)) == 0
@@ -51,7 +51,7 @@
 def test_end_of_an_unknown_job_is_forgotten_once_the_jobs_have_been_read_again():
     """The job ended long ago and its rows are gone; a worker that was away tells of its run.
 
-    Whatever the former home started stood in the store before: a reading that was begun after the
+    Whatever the former leader started stood in the store before: a reading that was begun after the
     end was told shows the job, or there is none. One that was begun before shows nothing.
     """
     scheduler = make_scheduler()
@@ -120,10 +120,10 @@
 
 @pytest.mark.parametrize("is_cancelled", [False, True])
 def test_end_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_kept(is_cancelled):
-    """The former home's clock is ahead of the next one's: it has begun an occurrence of a job.
+    """The former leader's clock is ahead of the next one's: it has begun an occurrence of a job.
 
-    To the next home the occurrence is not due for a second. Were the end forgotten, the task would
-    be started a second time then. A cancelling that is not durable changes nothing of that.
+    To the next leader the occurrence is not due for a second. Were the end forgotten, the task
+    would be started a second time then. A cancelling that is not durable changes nothing of that.
     """
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.0)
@@ -148,7 +148,7 @@
 
 
 def test_run_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_taken_on():
-    """The former home's clock is 0.5 s ahead, and a task that it began early still runs.
+    """The former leader's clock is 0.5 s ahead, and a task that it began early still runs.
 
     To stop it would throw its work away; a moment later the occurrence is due here, too.
     """
--- a/anvilflow/parts/_coordinator.py
+++ b/anvilflow/parts/_coordinator.py
@@ -1,4 +1,4 @@
-"""Home of customers' jobs: asks owners for places and records what happens to tasks."""
+"""Coordinator of customers' jobs: asks owners for places and records what happens to tasks."""
 
 from collections import deque
 
@@ -43,7 +43,7 @@
 #: Period of asking owners what became of tasks. Unit: seconds.
 _QUERY_S = 1.0
 
-#: Wait before a home is claimed again, or a phase written again. Unit: seconds.
+#: Wait before a coordinator is claimed again, or a phase written again. Unit: seconds.
 _AGAIN_S = 0.5
 
 #: Largest result that is kept in the task's row. Unit: bytes.
@@ -53,12 +53,12 @@
 
 
 def coordinator_key(customer):
-    """Return the key by which the home of a customer is chosen."""
+    """Return the key by which the coordinator of a customer is chosen."""
     return f"home/{customer}"
 
 
 class _Coordinator:
-    """One customer whose home this instance is."""
+    """One customer whose coordinator this instance is."""
 
     __slots__ = ("epoch", "owners", "records", "scheduler", "stopping")
 
@@ -73,9 +73,9 @@
 class CoordinatorPart(Part):
     """Runs the jobs of the customers that fall to this instance.
 
-    The home's row in the table fences it: each record of an intent is written on the condition
-    that the row is as this home left it. A home that was paused while another took over can
-    thereby record nothing, and what is not recorded is not started.
+    The coordinator's row in the table fences it: each record of an intent is written on the
+    condition that the row is as this coordinator left it. A coordinator that was paused while
+    another took over can thereby record nothing, and what is not recorded is not started.
     """
 
     prefix = "home"
@@ -167,10 +167,10 @@
 
     @inlineCallbacks
     def _take_over(self, customer):
-        """Become the customer's home: first the row, then the records.
+        """Become the customer's coordinator: first the row, then the records.
 
-        Records are read after the row is taken, so that none can be written by the former home
-        between the reading and the fence.
+        Records are read after the row is taken, so that none can be written by the former
+        coordinator between the reading and the fence.
         """
         table = self.context.table
         key = coordinator_key(customer)
@@ -223,7 +223,8 @@
 
     def _add_job(self, coordinator, job):
         # The configuration may lag behind the records: a job that this instance hears of only now
-        # may have been run by a former home. Its records, read at the take-over, are kept for it.
+        # may have been run by a former coordinator. Its records, read at the take-over, are kept
+        # for it.
         catalog = self.context.catalog
         try:
             workload = catalog.workload(job.workload)
@@ -455,7 +456,7 @@
         self.post(CommitAsk(conditions=[condition], writes=writes, done=done))
 
     def _check_written(self, customer, coordinator, error):
-        """Give the customer up when another home has taken it over."""
+        """Give the customer up when another coordinator has taken it over."""
         if self._coordinators.get(customer) is not coordinator:
             return False
         if error is None:
--- a/anvilflow/parts/_daemon.py
+++ b/anvilflow/parts/_daemon.py
@@ -85,8 +85,8 @@
         """Hand over, finish what is in progress, and stop.
 
         First the health check fails and the peers are told, so that nothing new is sent here;
-        workers and homes go to others. What is in progress is then awaited, for as long as the
-        setting says.
+        workers and coordinators go to others. What is in progress is then awaited, for as long as
+        the setting says.
         """
         context = self.context
         if context.leaving:
--- a/anvilflow/parts/_store.py
+++ b/anvilflow/parts/_store.py
@@ -123,7 +123,7 @@
 def _agrees(ask, versions):
     """Whether no condition of `ask` wants another version of a row than `versions` does.
 
-    A home that lost its row and took it again has records of both terms in the queue. In one
+    A coordinator that lost its row and took it again has records of both terms in the queue. In one
     transaction only one version of the row can be the condition: the former term's records were
     written under the present one, named the wrong worker, and a task started in a second place.
     """
--- a/anvilflow/parts/tests/test_failures.py
+++ b/anvilflow/parts/tests/test_failures.py
@@ -45,8 +45,9 @@
 def test_home_and_owner_die_with_jobs_running():
     """An operator sees a job complete although the instance that runs it is killed twice.
 
-    The next home takes the row of the customer, reads which tasks were placed where, and asks the
-    workers' owners what became of them. Finished ones are not repeated, running ones go on.
+    The next coordinator takes the row of the customer, reads which tasks were placed where, and
+    asks the workers' owners what became of them. Finished ones are not repeated, running ones go
+    on.
     """
     cell = make_cell(n_instances=5)
     job = make_job("j1", "refresh", 60, seconds=1.0)
@@ -89,10 +90,10 @@
 
 
 def test_paused_home_records_nothing_after_it_lost_its_row():
-    """A home stops with holds granted and intents unwritten, and another takes its jobs over.
+    """A coordinator stops with holds granted and intents unwritten, another takes over its jobs.
 
-    On waking it writes the intents it had in hand. The condition on the home's row refuses them,
-    and what is not recorded is not started: no task runs twice, none is lost.
+    On waking it writes the intents it had in hand. The condition on the coordinator's row refuses
+    them, and what is not recorded is not started: no task runs twice, none is lost.
     """
     cell = make_cell(n_instances=4)
     job = make_job("j1", "refresh", 80, seconds=0.7)
@@ -273,7 +274,7 @@
 
 
 def test_home_that_hears_late_of_a_job_uses_its_records():
-    """A home takes jobs over before its configuration shows one of them, which already runs.
+    """A coordinator takes jobs over before its configuration shows one of them, which already runs.
 
     When the configuration catches up, the job must not look new: the records that were read at
     the take-over say where its tasks run. (Found by chaos seed 38, as tasks in two places.)
@@ -431,7 +432,8 @@
 def test_gang_is_not_kept_waiting_by_an_owner_whose_only_worker_leaves():
     """A gang's place is asked of an owner whose only worker leaves.
 
-    That owner must refuse, and the home must ask elsewhere; the job completes. (Chaos seed 619.)
+    That owner must refuse, and the coordinator must ask elsewhere; the job completes. (Chaos seed
+    619.)
     """
     cell = make_cell(n_instances=3, n_workers=6)
     owners = {name: cell.owner_of(name) for name in cell.workers}
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -51,11 +51,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_row_of_the_home_refuses_intents_of_a_former_home(monkeypatch, safeguard):
-    """A home is paused with its intents on the way to a slow table.
+    """A coordinator is paused with its intents on the way to a slow table.
 
-    Another home takes the jobs over, sees no intent, and places and starts the tasks. Then the
-    old intents arrive. Written over the new ones they would lead the next home to the wrong
-    workers: it would find nothing there and start the tasks a second time.
+    Another coordinator takes the jobs over, sees no intent, and places and starts the tasks. Then
+    the old intents arrive. Written over the new ones they would lead the next coordinator to the
+    wrong workers: it would find nothing there and start the tasks a second time.
     """
     if not safeguard:
 
@@ -78,7 +78,7 @@
 
 
 def wait_for_coordinator(cell):
-    """Let time pass until an instance is home of the large customer; return its name."""
+    """Let time pass until an instance is coordinator of the large customer; return its name."""
     while True:
         for name, daemon in cell.daemons.items():
             if daemon.supervisor.part("home").dump().get("large"):
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_group_commit_splits_a_refused_group(monkeypatch, safeguard):
-    """Two customers' records share a transaction, and one customer's home was taken over.
+    """Two customers' records share a transaction, and one customer's coordinator was taken over.
 
     The one refused condition refuses the whole transaction. Apart, the other's records go through
     and its job completes.
@@ -200,10 +200,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_records_of_two_terms_are_not_written_under_one_condition(monkeypatch, safeguard):
-    """A home loses its row and takes it again, while a record of its first term still waits.
+    """A coordinator loses its row and takes it again, while a record of its first term still waits.
 
     Both records name the same task. Written together, under the condition of the second term, the
-    stale one would replace what really runs, and the next home would look for it on a wrong worker.
+    stale one would replace what really runs, and the next coordinator would look for it on a wrong
+    worker.
     """
     if not safeguard:
         monkeypatch.setattr("anvilflow.parts._store._agrees", lambda ask, versions: True)
--- a/anvilflow/platform/_jobs.py
+++ b/anvilflow/platform/_jobs.py
@@ -13,7 +13,7 @@
 #: Longest text that goes to a job's tasks. Unit: bytes; the platform's own limit.
 MAX_SPEC_BYTES = 4000
 
-#: Most tasks of one job. Each is a few hundred bytes of memory at the home, which has 300 MB; the
+#: Most tasks of one job. Each is a few hundred bytes of memory at the leader, which has 300 MB; the
 #: largest job that users describe has some hundred.
 MAX_TASKS = 5000
 
--- a/anvilflow/runtime/_clock.py
+++ b/anvilflow/runtime/_clock.py
@@ -9,7 +9,8 @@
     Its own is the time of day. Set back, all timers stood still for the size of the step; set
     ahead, leases that still ran seemed to have ended, and their tasks were started a second time.
     The clock chosen also counts the time for which a machine is suspended: other machines' clocks
-    went on, and a home that did not see the gap would go on sending orders as if it still were one.
+    went on, and a leader that did not see the gap would go on sending orders as if it still were
+    one.
 
     Parameters
     ----------
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -294,15 +294,15 @@
             self.clock.advance(STEP_S)
 
     def leader(self):
-        """Return the name of the instance that the store knows as the home."""
+        """Return the name of the instance that the store knows as the leader."""
         return self.store.value("home", "home", part="cell")["holder"]
 
     def leaders(self):
-        """Return the instances that act as home now."""
+        """Return the instances that act as leader now."""
         return [name for name, daemon in self.daemons.items() if daemon.context.leader is not None]
 
     def other(self):
-        """Return an instance that is not the home."""
+        """Return an instance that is not the leader."""
         return next(name for name in self.daemons if name != self.leader())
 
     def call(self, instance, method, path, body=b""):
