--- a/benchmarks/bench_cell.py
+++ b/benchmarks/bench_cell.py
@@ -1,7 +1,7 @@
 """What the cell costs and how fast it starts: one virtual minute of a steady load on stand-ins.
 
 Prints processor time a task start, store calls and bytes a job, calls to workers a start, and the
-time from a job's acceptance to the start of its tasks. Home, entries and stand-ins share the
+time from a job's acceptance to the start of its tasks. Leader, entries and stand-ins share the
 process: its time only means something beside that of another version.
 """
 
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -1,10 +1,10 @@
-"""What binds a cell of equal small instances: rates, bytes and processor at the home, take-overs.
+"""What binds a cell of equal small instances: rates, bytes and processor at the leader, take-overs.
 
 Plays 1, 4, 12 and 36 instances of 0.12 of a core on links of 2 Mbit/s, in virtual time. For each
-size: starts a second out of a backlog; for each start, what the home sends and receives, its
-processor time and what all others send; seconds from the end of the home until the next start, with
-300 jobs stored. Calls take as long as they are measured to take here, so that figures only mean
-something beside those of another version, played on the same machine.
+size: starts a second out of a backlog; for each start, what the leader sends and receives, its
+processor time and what all others send; seconds from the end of the leader until the next start,
+with 300 jobs stored. Calls take as long as they are measured to take here, so that figures only
+mean something beside those of another version, played on the same machine.
 
     python benchmarks/bench_narrow.py [SIZE ...]
 """
@@ -35,7 +35,7 @@
 BACKLOG_S = 9.0
 COUNTED_FROM_S = 3.0
 
-#: Jobs that are stored when the home ends, and what comes meanwhile: jobs a second.
+#: Jobs that are stored when the leader ends, and what comes meanwhile: jobs a second.
 N_STORED = 300
 USUAL_PER_S = 5
 
@@ -64,7 +64,7 @@
 
 
 def _submit(cell, number):
-    """Submit a job at an instance that is not the home, if there is one."""
+    """Submit a job at an instance that is not the leader, if there is one."""
     leader = cell.leader()
     gateways = [name for name in cell.daemons if name != leader] or [leader]
     name = gateways[number % len(gateways)]
@@ -76,7 +76,7 @@
 
 
 class _Counts:
-    """What the home, and all others, have sent, received and spent so far."""
+    """What the leader, and all others, have sent, received and spent so far."""
 
     def __init__(self, cell):
         leader = cell.leader()
@@ -141,7 +141,7 @@
 
 
 def _first_start(cell, ended, ended_at):
-    """Return when the first task began that a later home has started."""
+    """Return when the first task began that a later leader has started."""
     began = [
         span.began_at
         for span in cell.spans
--- a/soak/_judge.py
+++ b/soak/_judge.py
@@ -7,7 +7,7 @@
 from ._callers import ENDS
 
 #: Time for which a cancelled job's tasks may still run and be started, after everything works
-#: again: an entry without a home leaves a mark that the home finds. Unit: seconds.
+#: again: an entry without a leader leaves a mark that the leader finds. Unit: seconds.
 CANCEL_S = 4.0
 
 #: Crashed workers of one task from which on its job may be shown as failed.
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -20,7 +20,7 @@
 from ._judge import CANCEL_S, Judge
 from ._world import World
 
-#: Time for the processes to start and find their home, and for each of them: they share the
+#: Time for the processes to start and find their leader, and for each of them: they share the
 #: machine's processors. Unit: seconds.
 START_S = 3.0
 START_EACH_S = 0.2
--- a/soak/tests/test_clock_steps.py
+++ b/soak/tests/test_clock_steps.py
@@ -34,7 +34,7 @@
     """Callers hear nothing for a minute, or a task runs twice, after the time of day was set.
 
     Set back, all timers of the instance stand still for the size of the step: no holds, no plans,
-    no answers from time limits. Set ahead, leases that still run seem to have ended, and a home
+    no answers from time limits. Set ahead, leases that still run seem to have ended, and a leader
     starts what they guard elsewhere. The reactor's own clock is the time of day.
     """
     addresses = {name: "127.0.0.1:0" for name in ("front", "ready", "peers")}
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -40,7 +40,7 @@
 def test_soak_that_watches_the_configuration_breaks_no_promise(seed, tmp_path):
     """A queue that was added is refused by several instances at once, long after its change.
 
-    In the third seed the home is killed after a change: all others answer 503. In the fourth all
+    In the third seed the leader is killed after a change: all others answer 503. In the fourth all
     connections to the store fall silent, and a change that comes 1.9 s later is not in force 2.0 s
     after it: 404 for the queue that was added, 200 for the one that was dropped.
     """
