--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -219,7 +219,7 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_an_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
+def test_cancelling_that_a_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
     """The leader is removed; a client cancels before there is another, and hears 200.
 
     The mark in the store is read by the next leader when it begins. Not read, the job would go on.
