--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -152,7 +152,7 @@
         ------
         NotReadyError
             AF204, the order was not sent to the relay.
-        PeerSilentError
+        PeerTimeoutError
             AF502, it may be carried out.
         """
         done = self.context.links.call_relay(
