--- a/anvilflow/cell/_advisers.py
+++ b/anvilflow/cell/_advice_dispatcher.py
@@ -8,10 +8,10 @@
 TIMEOUT_S = 3.0
 
 #: Time for which an instance that gave no answer is left out. Unit: seconds.
-REST_S = 1.0
+BACKOFF_S = 1.0
 
 
-class Advisers:
+class AdviceDispatcher:
     """Chooses the instance that asks next.
 
     The service takes one call at a time of each calling machine, and a call for heavy work takes
@@ -28,7 +28,7 @@
         self._rested = {}
 
     @property
-    def n_advisers(self):
+    def n_advice_callers(self):
         """Instances that can ask."""
         return 1 + len(self.context.links.peers) if self.context.links is not None else 1
 
@@ -47,7 +47,7 @@
         if name == self.context.name:
             done = self.context.advice.ask(step, workers)
         else:
-            done = self.context.links.ask_advice(name, TIMEOUT_S, step=step, workers=workers)
+            done = self.context.links.request_advice(name, TIMEOUT_S, step=step, workers=workers)
             done.addCallback(_advice_of)
         done.addErrback(self._failed, name)
         done.addBoth(self._over, name, length_s)
@@ -62,7 +62,7 @@
 
     def _failed(self, failure, name):
         failure.trap(AnvilflowError)
-        self._rested[name] = self.context.clock.seconds() + REST_S
+        self._rested[name] = self.context.clock.seconds() + BACKOFF_S
         return None
 
     def _over(self, result, name, length_s):
--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -6,12 +6,12 @@
 
 from ..metrics import Meters
 from ._lag import LagMeter
-from ._link_use import LinkUse
-from ._payloads import Payloads
-from ._start_waits import StartWaits
-from ._waiting import WaitingJobs
+from ._link_utilization import LinkUtilization
+from ._payload_cache import PayloadCache
+from ._pending_jobs import PendingJobs
+from ._start_delays import StartDelays
 
-#: Period in which each instance measures how late it is: that of a home's beats. Unit: seconds.
+#: Period in which each instance measures how late it is: that of a leader's beats. Unit: seconds.
 LAG_PERIOD_S = 0.2
 
 
@@ -21,23 +21,23 @@
     version: int
 
 
-class HomeChanged(Struct, kw_only=True):
-    """The cell has another home, as this instance sees it."""
+class LeaderChanged(Struct, kw_only=True):
+    """The cell has another leader, as this instance sees it."""
 
 
 class Claimed(Struct, kw_only=True):
-    """This instance has become the home.
+    """This instance has become the leader.
 
     Parameters
     ----------
     token : int
-        Version of the home's row that the claim got: unique, and higher than every one before.
+        Version of the leader's row that the claim got: unique, and higher than every one before.
     term : int
-        How many homes there were, this one included.
+        How many leaders there were, this one included.
     row_version : int
         Version of the row at present.
-    former : HomeRow or None
-        What the former home said of itself and of its workers.
+    former : LeaderRow or None
+        What the former leader said of itself and of its workers.
     """
 
     token: int
@@ -47,10 +47,10 @@
 
 
 class Deposed(Struct, kw_only=True):
-    """Another instance has become the home."""
+    """Another instance has become the leader."""
 
 
-class StoreAnswers(Struct, kw_only=True):
+class StoreRecovered(Struct, kw_only=True):
     """The store answers this instance again, after `away_s` in which calls had no answer."""
 
     away_s: float
@@ -82,8 +82,8 @@
 
     Notes
     -----
-    `successors` are the instances that come next as the home, in their order. `is_carried` tells
-    whether the home has its orders to workers carried out by other instances, as far as this one
+    `successors` are the instances that come next as the leader, in their order. `uses_relays` tells
+    whether the leader has its orders to workers carried out by other instances, as far as this one
     knows.
     """
 
@@ -116,22 +116,24 @@
         self.config_at = clock.seconds()
         self.leaving = False
         self.store_health = StoreHealth(
-            clock=clock, on_answers=lambda away_s: bus.post(StoreAnswers(away_s=away_s))
+            clock=clock, on_answers=lambda away_s: bus.post(StoreRecovered(away_s=away_s))
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
-        self.waiting = WaitingJobs(context=self)
-        self.start_waits = StartWaits(clock=clock)
-        self.payloads = Payloads(context=self)
-        self.link_use = LinkUse(settings=lambda: self.settings, count=self._count_bytes)
-        self.is_carried = False
+        self.waiting = PendingJobs(context=self)
+        self.start_waits = StartDelays(clock=clock)
+        self.payloads = PayloadCache(context=self)
+        self.link_utilization = LinkUtilization(
+            settings=lambda: self.settings, count=self._count_bytes
+        )
+        self.uses_relays = False
         self.meters = Meters()
         self.dump = dict
         self._count_call_bytes = count_bytes
         self.links = None
-        self.carrier = None
-        self.warm_tables = None
+        self.relay = None
+        self.standby_tables = None
         self.successors = ()
-        self.home = None
+        self.leader = None
         self.config_part = None
 
     @property
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -11,16 +11,16 @@
 from ..exceptions import SettingsError
 from ..platform import AdviceClient, StoreClient, WorkerCalls
 from ..runtime import Bus, ReactorNetwork, Supervisor, use_steady_clock
-from ._carrier import CarrierPart
 from ._config import ConfigPart
 from ._context import CellContext, Leaving
-from ._entry import EntryPart
-from ._home import HomePart
+from ._diagnostics import DiagnosticsPart
+from ._gateway import GatewayPart
+from ._leader import LeaderPart
 from ._leadership import LeadershipPart
 from ._links import LinksPart
-from ._observer import ObserverPart
-from ._store_watch import StoreWatchPart
-from ._warm_tables import WarmTablesPart
+from ._relay import RelayPart
+from ._standby_tables import StandbyTablesPart
+from ._store_probe import StoreProbePart
 
 #: Wait for an answer of the store. It answers in 4 ms; slowed sixty times, in 0.25 s.
 #: Unit: seconds.
@@ -62,15 +62,15 @@
         context.bus.on_failure = self.supervisor.on_failure
         context.dump = self.dump
         for name, kind in (
-            ("observer", ObserverPart),
+            ("observer", DiagnosticsPart),
             ("links", LinksPart),
-            ("store", StoreWatchPart),
+            ("store", StoreProbePart),
             ("config", ConfigPart),
-            ("warm", WarmTablesPart),
-            ("home", HomePart),
+            ("warm", StandbyTablesPart),
+            ("home", LeaderPart),
             ("leadership", LeadershipPart),
-            ("entry", EntryPart),
-            ("carrier", CarrierPart),
+            ("entry", GatewayPart),
+            ("carrier", RelayPart),
         ):
             self.supervisor.add(name, lambda kind=kind: kind(context=context))
 
@@ -132,14 +132,14 @@
         A process that ends takes them along: their clients hear nothing, and do not know whether
         their jobs were accepted.
         """
-        entry = self.supervisor.part("entry")
-        if entry is None:
+        gateway = self.supervisor.part("entry")
+        if gateway is None:
             return
-        entry.stop_listening()
+        gateway.stop_listening()
         is_idle = False
         while not is_idle and self.context.clock.seconds() < end_at:
             yield self._sleep_until(min(end_at, self.context.clock.seconds() + LAST_CALLS_S))
-            is_idle = entry.n_in_progress == 0
+            is_idle = gateway.n_in_progress == 0
 
     def _sleep_until(self, at):
         clock = self.context.clock
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -1,22 +1,22 @@
-"""The home's sessions with all workers: what goes out to them and what comes back."""
+"""The leader's sessions with all workers: what goes out to them and what comes back."""
 
 from ..decisions import RetryBudget, RoundTrip, RoundTripSettings
 from ..exceptions import PayloadGoneError
-from ..jobs import ORDER_S
+from ..jobs import COMMAND_S
 from ._registry import Registry
-from ._routed_calls import RoutedCalls
-from ._session import HOLD_WAIT_S, WorkerSession
+from ._session import RENEWAL_WAIT_S, WorkerSession
 from ._start_queue import StartQueue
+from ._worker_call_router import WorkerCallRouter
 
-#: Length of the leases that are sent. Renewals come each half second; a take-over from a home that
-#: fell silent takes about 1 s, a start of all instances after a loss of power 2 s. A longer lease
-#: would keep tasks of a lost worker waiting for longer. Unit: seconds.
+#: Length of the leases that are sent. Renewals come each half second; a take-over from a leader
+#: that fell silent takes about 1 s, a start of all instances after a loss of power 2 s. A longer
+#: lease would keep tasks of a lost worker waiting for longer. Unit: seconds.
 LEASE_S = 3.0
 
-#: Longest wait of a hold while the home is short of processor. Holds, with news or without, were
+#: Longest wait of a hold while the leader is short of processor. Holds, with news or without, were
 #: some 1,090 of its 2,012 calls in a profile of ten seconds. Two of these and the lag stay within a
 #: lease. Unit: seconds.
-SHORT_HOLD_WAIT_S = 1.0
+SHORT_RENEWAL_WAIT_S = 1.0
 
 #: Time that a worker's missing entry is given to come back, for example after an outage of the
 #: store in which it lapsed. Unit: seconds.
@@ -37,7 +37,7 @@
 
 #: Silence after which a worker gets no new work, also while answers of all workers are late. Unit:
 #: seconds.
-LATE_SILENT_S = 2.0
+LATE_UNRESPONSIVE_S = 2.0
 
 #: Starts that may be sent again: a share of those that workers answer, and some at once.
 RETRY_RATIO = 0.5
@@ -57,18 +57,18 @@
     log : Logger
     scheduler : Scheduler
     token : int
-    carriers : Carriers
+    relay_dispatcher : RelayDispatcher
     events : object
         Hears what follows: ``act(actions)``, ``changed()``, ``ends_told()``, ``deposed()``,
         ``fail_with(failure)``.
     """
 
-    def __init__(self, *, context, log, scheduler, token, carriers, events):
+    def __init__(self, *, context, log, scheduler, token, relay_dispatcher, events):
         self.context = context
         self.log = log
         self.scheduler = scheduler
         self.token = token
-        self.carriers = carriers
+        self.relay_dispatcher = relay_dispatcher
         self.events = events
         self.closed = False
         self.confirmed_at = context.clock.seconds()
@@ -85,7 +85,7 @@
             scheduler=scheduler,
             send=self._send_start,
             drop=self._drop_start,
-            may_order=self.may_order,
+            may_send_commands=self.may_send_commands,
         )
 
     def close(self):
@@ -103,36 +103,37 @@
     def _now(self):
         return self.context.clock.seconds()
 
-    # Whether this is the home
+    # Whether this is the leader
 
     def confirm(self, at):
-        """Note that a call that was sent at `at` showed that this is the home."""
+        """Note that a call that was sent at `at` showed that this is the leader."""
         self.confirmed_at = max(self.confirmed_at, at)
 
     def is_confirmed(self):
-        """Whether the store has shown a moment ago that this is the home."""
-        return self._now() - self.confirmed_at <= ORDER_S
+        """Whether the store has shown a moment ago that this is the leader."""
+        return self._now() - self.confirmed_at <= COMMAND_S
 
-    def may_order(self):
+    def may_send_commands(self):
         """Whether starts and leases may be sent.
 
-        A home that was paused or is cut off must not prolong leases whose end another home waits
-        for. In an outage of the store, more than half of the workers tell that there is no other.
+        A leader that was paused or is cut off must not prolong leases whose end another leader
+        waits for. In an outage of the store, more than half of the workers tell that there is no
+        other.
         """
         if self.is_confirmed():
             return True
         now = self._now()
-        n_heard = sum(now - at <= ORDER_S for at in self._heard_at.values())
+        n_heard = sum(now - at <= COMMAND_S for at in self._heard_at.values())
         return 2 * n_heard > len(self.scheduler.workers)
 
-    def hold_wait(self):
+    def renewal_wait(self):
         """Return how long a hold may wait.
 
-        Shorter where only workers can confirm the home; longer where it is short of processor.
+        Shorter where only workers can confirm the leader; longer where it is short of processor.
         """
         if not self.is_confirmed():
-            return HOLD_WAIT_S / 2
-        return SHORT_HOLD_WAIT_S if self.context.lag.is_short else HOLD_WAIT_S
+            return RENEWAL_WAIT_S / 2
+        return SHORT_RENEWAL_WAIT_S if self.context.lag.is_short else RENEWAL_WAIT_S
 
     # Orders
 
@@ -156,7 +157,7 @@
             task=action.task,
             run=action.run_id,
             worker=action.worker_id,
-            carrier=self.carriers.for_start(action.worker_id, job_id),
+            carrier=self.relay_dispatcher.for_start(action.worker_id, job_id),
         )
         self.scheduler.start_sent(action.worker_id, action.task, action.run_id)
         session = self._sessions.get(action.worker_id)
@@ -229,18 +230,18 @@
         """
         if self.limit_s() < LATE_S and self._unanswered_share < LATE_SHARE:
             return False
-        return self._now() - self._heard_at.get(worker_id, float("-inf")) < LATE_SILENT_S
+        return self._now() - self._heard_at.get(worker_id, float("-inf")) < LATE_UNRESPONSIVE_S
 
     # Workers
 
-    def take_entry(self, row):
+    def take_registry_entry(self, row):
         """Take a row of the registry: a worker is new, says something new of itself, or is gone."""
         if row.value is None:
-            self.entry_gone(row.key)
+            self.registry_entry_removed(row.key)
             return
         info = self._registry.read(row)
         if info is None:
-            self._entry_unlisted(row.key)
+            self._registry_entry_unlisted(row.key)
             return
         self._unlisted.pop(info.worker_id, None)
         if self.scheduler.worker_listed(info, self._now()):
@@ -252,14 +253,14 @@
             self.log.info("worker drains", worker=info.worker_id, left_s=info.leaves_in_s)
 
     def take_handover(self, handover):
-        """Take on a worker of which the former home had to tell, perhaps unregistered by now."""
+        """Take on a worker of which the former leader had to tell, perhaps unregistered by now."""
         info = handover.info
         if info.worker_id not in self.scheduler.workers:
             self.scheduler.worker_listed(info, self._now())
             self._open_session(info)
-            self.entry_gone(info.worker_id)
+            self.registry_entry_removed(info.worker_id)
         if handover.runs is not None:
-            self.scheduler.take_on_unheard(info.worker_id, handover.runs, self._now())
+            self.scheduler.adopt_unconfirmed_runs(info.worker_id, handover.runs, self._now())
             fresh = [handover.runs[index] for index in handover.fresh]
             self.scheduler.note_fresh_runs(info.worker_id, fresh)
         self.log.info(
@@ -271,18 +272,18 @@
     def read_again(self):
         """Look again at entries that named no worker: the configuration has changed."""
         for row in self._registry.rows_aside:
-            self.take_entry(row)
+            self.take_registry_entry(row)
 
-    def entry_gone(self, worker_id):
+    def registry_entry_removed(self, worker_id):
         """A worker is no longer registered."""
         self._registry.removed(worker_id)
-        self._entry_unlisted(worker_id)
+        self._registry_entry_unlisted(worker_id)
 
-    def _entry_unlisted(self, worker_id):
+    def _registry_entry_unlisted(self, worker_id):
         """Give a worker no new work: its entry is gone, or names no worker any more.
 
-        What runs there is held on. The home's row names it for the next home, as it does workers
-        that have left.
+        What runs there is held on. The leader's row names it for the next leader, as it does
+        workers that have left.
         """
         if worker_id not in self.scheduler.workers or worker_id in self._unlisted:
             return
@@ -295,13 +296,13 @@
         before = self._sessions.pop(info.worker_id, None)
         if before is not None:
             before.close()
-        calls = RoutedCalls(
+        calls = WorkerCallRouter(
             direct=self.context.make_worker(info, self.token),
             info=info,
-            carriers=self.carriers,
+            relay_dispatcher=self.relay_dispatcher,
             context=self.context,
         )
-        session = WorkerSession(clock=self.context.clock, calls=calls, lease_s=LEASE_S, home=self)
+        session = WorkerSession(clock=self.context.clock, calls=calls, lease_s=LEASE_S, fleet=self)
         self._sessions[info.worker_id] = session
         session.run().addErrback(self.events.fail_with)
 
@@ -315,10 +316,10 @@
         worker = self.scheduler.workers.get(worker_id)
         return worker is not None and self.seen(worker_id) < worker.last_ended
 
-    def is_silent(self, worker_id):
+    def is_unreachable(self, worker_id):
         """Whether the last call to a worker had no answer."""
         worker = self.scheduler.workers.get(worker_id)
-        return worker is not None and worker.silent
+        return worker is not None and worker.unreachable
 
     def is_wanted(self, action):
         """Whether a run that is being started still has its place, and is not being stopped."""
@@ -330,13 +331,13 @@
         if worker is not None:
             worker.lease_sent(sent_at, LEASE_S)
 
-    def worker_reported(self, worker_id, report, asked_at):
+    def worker_reported(self, worker_id, report, requested_at):
         """Take a worker's answer to a hold."""
         worker = self.scheduler.workers.get(worker_id)
         if worker is None:
             return
-        self._heard_at[worker_id] = asked_at
-        if worker.silent or not worker.confirmed:
+        self._heard_at[worker_id] = requested_at
+        if worker.unreachable or not worker.confirmed:
             self.log.info("worker answers", worker=worker_id, active=len(report.active))
         for end in report.ended:
             if end.number > worker.last_ended:
@@ -349,10 +350,10 @@
                     how=end.how,
                     number=end.number,
                 )
-        is_news = bool(report.ended) or worker.silent or not worker.confirmed
+        is_news = bool(report.ended) or worker.unreachable or not worker.confirmed
         n_runs = len(worker.runs)
         self.events.act(
-            self.scheduler.report(worker_id, report, asked_at=asked_at, now=self._now())
+            self.scheduler.report(worker_id, report, requested_at=requested_at, now=self._now())
         )
         if report.ended:
             self.events.ends_told()
@@ -363,13 +364,15 @@
     def worker_failed(self, worker_id, exc):
         """A call to a worker had no answer."""
         worker = self.scheduler.workers.get(worker_id)
-        nobody_listens = (exc.details or {}).get("nobody_listens", False)
-        if not nobody_listens and self._is_only_late(worker_id):
+        connection_refused = (exc.details or {}).get("nobody_listens", False)
+        if not connection_refused and self._is_only_late(worker_id):
             self.context.meters.count("late_workers")
             return
-        if worker is not None and not worker.silent:
+        if worker is not None and not worker.unreachable:
             self.log.info("worker silent", worker=worker_id, error=str(exc))
-        self.scheduler.worker_silent(worker_id, self._now(), nobody_listens=nobody_listens)
+        self.scheduler.worker_unreachable(
+            worker_id, self._now(), connection_refused=connection_refused
+        )
         unlisted_at = self._unlisted.get(worker_id)
         over = worker is None or self._now() >= worker.lease_over_at
         if unlisted_at is not None and self._now() - unlisted_at > UNLISTED_S and over:
@@ -390,7 +393,7 @@
         self.events.changed()
 
     def fenced(self, worker_id):
-        """A worker has seen a higher token: another home has begun."""
+        """A worker has seen a higher token: another leader has begun."""
         self.log.warning("fenced by a worker", worker=worker_id, token=self.token)
         self.events.deposed()
 
--- a/anvilflow/cell/_entry.py
+++ b/anvilflow/cell/_gateway.py
@@ -21,19 +21,19 @@
 from ..platform import FrontResource, ReadyResource
 from ..runtime import Part
 from ..utils import encode
-from ._context import Claimed, HomeChanged
+from ._context import Claimed, LeaderChanged
 from ._job_store import cancel_stored_job, read_stored_job, store_job_surely
 from ._recorder import answer_timeout
 from ._tables import MAX_ROW_BYTES, JobRow, without_payload
 
-#: Wait for the home's answer before the store is asked instead. The home answers in a few
+#: Wait for the leader's answer before the store is asked instead. The leader answers in a few
 #: milliseconds or is changing. Unit: seconds.
-HOME_TIMEOUT_S = 0.4
+LEADER_TIMEOUT_S = 0.4
 
-#: Wait for the home to store a job that this instance could not store. Unit: seconds.
+#: Wait for the leader to store a job that this instance could not store. Unit: seconds.
 SUBMIT_TIMEOUT_S = 0.9
 
-#: Wait for the home to make a cancelling durable. Unit: seconds.
+#: Wait for the leader to make a cancelling durable. Unit: seconds.
 CANCEL_TIMEOUT_S = 1.2
 
 #: When a client that was refused in an outage should come back: after a third of the time that the
@@ -43,7 +43,7 @@
 MIN_RETRY_AFTER_S = 1
 MAX_RETRY_AFTER_S = 10
 
-#: What the home's answers to a submit mean; every other one leaves the job in doubt.
+#: What the leader's answers to a submit mean; every other one leaves the job in doubt.
 _SUBMIT_OUTCOMES = {"ok": "ok", "refused": "refused", "not home": "refused"}
 
 #: Verbs that are counted under their own name: a client may send any text.
@@ -51,7 +51,7 @@
 
 _STATE_NAMES = frozenset(map(str, JobState))
 
-#: Time without the store and without the home after which the balancer is told to send no new
+#: Time without the store and without the leader after which the balancer is told to send no new
 #: connections: this instance alone is cut off, others serve. Unit: seconds.
 CUT_OFF_S = 0.5
 
@@ -65,7 +65,7 @@
 STATES_KEPT = 2000
 
 
-class EntryPart(Part):
+class GatewayPart(Part):
     """Accepts jobs durably and answers about them."""
 
     prefix = "entry"
@@ -99,15 +99,15 @@
     def start(self):
         """Listen to clients and to the balancer."""
         listen = self.context.settings.listen
-        self.front = FrontResource(entry=self)
+        self.front = FrontResource(gateway=self)
         front = Site(self.front, timeout=60)
         front.log = lambda request: None
         ready = Site(ReadyResource(is_ready=self._is_ready), timeout=60)
         ready.log = lambda request: None
         self._listen(listen.ready, ready)
         self._front_port = self._listen(listen.front, front)
-        self.on(HomeChanged, lambda *_: self._tell_again())
-        # A home reads the rows of all jobs when it begins.
+        self.on(LeaderChanged, lambda *_: self._tell_again())
+        # A leader reads the rows of all jobs when it begins.
         self.on(Claimed, lambda *_: self._untold.clear())
         self.log.info("listening to clients", address=listen.front)
 
@@ -157,9 +157,9 @@
     @inlineCallbacks
     def submit(self, spec, queue):
         """Accept a job durably; AF302 says it certainly was not, AF305 that it may have been."""
-        # The home then sends none of the starts itself, and need not hold the payload.
-        entry = self.context.name if self.context.is_carried else ""
-        value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=entry)
+        # The leader then sends none of the starts itself, and need not hold the payload.
+        gateway = self.context.name if self.context.uses_relays else ""
+        value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
             # The store refuses it however often it comes. Taken for a write in doubt, the client
             # was told to send it again, and the instance took the store for away each time.
@@ -185,12 +185,12 @@
             else:
                 self.log.info("job accepted", job=job_id, queue=queue.name, version=version)
                 if version:
-                    if entry:
+                    if gateway:
                         self.context.payloads.keep(job_id, spec.payload)
                         value = without_payload(value)
-                    self._tell_home(value, version)
+                    self._notify_leader(value, version)
                 return
-        outcome = yield self._submit_at_home(value)
+        outcome = yield self._submit_at_leader(value)
         self.log.info("job handed to the home", job=job_id, outcome=outcome, unsure=unsure)
         if outcome == "ok":
             return
@@ -240,11 +240,11 @@
         wait = self.context.store_health.bad_for_s * RETRY_AFTER_SHARE
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
-    def _tell_home(self, value, version):
+    def _notify_leader(self, value, version):
         job_id = value.spec.job_id
         self._untold[job_id] = (value, version)
-        done = self.context.links.ask_home(
-            HOME_TIMEOUT_S,
+        done = self.context.links.call_leader(
+            LEADER_TIMEOUT_S,
             verb="accepted",
             job_id=job_id,
             queue=value.queue.name,
@@ -259,22 +259,22 @@
             self._untold.pop(job_id, None)
 
     def _tell_again(self):
-        """Tell a new home of the jobs that the former one may not have heard of.
+        """Tell a new leader of the jobs that the former one may not have heard of.
 
         It finds them in its feed, too, but up to a second later.
         """
         untold, self._untold = self._untold, {}
         for value, version in untold.values():
-            self._tell_home(value, version)
+            self._notify_leader(value, version)
 
     def _not_told(self, failure, job_id):
         failure.trap(AnvilflowError)
         self.log.info("home not told", job=job_id, error=str(failure.value))
 
     @inlineCallbacks
-    def _submit_at_home(self, value):
-        """Let the home store a job; return ok, refused (certainly not stored) or unsure."""
-        if self.context.home is not None:
+    def _submit_at_leader(self, value):
+        """Let the leader store a job; return ok, refused (certainly not stored) or unsure."""
+        if self.context.leader is not None:
             return "refused"
         try:
             reply = yield self._ask(
@@ -286,8 +286,8 @@
             return "unsure"
         return _SUBMIT_OUTCOMES.get(reply.outcome, "unsure")
 
-    def _ask(self, verb, job_id, queue, body=b"", timeout=HOME_TIMEOUT_S):
-        return self.context.links.ask_home(
+    def _ask(self, verb, job_id, queue, body=b"", timeout=LEADER_TIMEOUT_S):
+        return self.context.links.call_leader(
             timeout, verb=verb, job_id=job_id, queue=queue, version=0, body=body
         )
 
@@ -332,12 +332,12 @@
     def pending(self, queue):
         """Return how many of a queue's jobs have not begun.
 
-        A queue of the configuration is served whether there is a home or not: its loss must not
+        A queue of the configuration is served whether there is a leader or not: its loss must not
         look like a queue that is not known.
         """
         waiting = self.context.waiting
-        if self.context.home is not None or not waiting.is_known:
-            n_jobs = yield self._pending_at_home(queue)
+        if self.context.leader is not None or not waiting.is_known:
+            n_jobs = yield self._pending_at_leader(queue)
             if n_jobs is not None:
                 return n_jobs
         yield waiting.await_first()
@@ -345,10 +345,10 @@
         return waiting.count(queue.name)
 
     @inlineCallbacks
-    def _pending_at_home(self, queue):
-        """Ask the home; return None where that does not tell.
+    def _pending_at_leader(self, queue):
+        """Ask the leader; return None where that does not tell.
 
-        A home of an earlier release does not tell by itself what waits.
+        A leader of an earlier release does not tell by itself what waits.
         """
         try:
             reply = yield self._ask("pending", "", queue.name)
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -1,4 +1,4 @@
-"""Rows of jobs, as the home takes them on."""
+"""Rows of jobs, as the leader takes them on."""
 
 from ..exceptions import PlatformError
 from ..jobs import EndedJob, JobRecord, JobState
@@ -14,17 +14,17 @@
     context : CellContext
     log : Logger
     scheduler : Scheduler
-    janitor : Janitor
-    carriers : Carriers
+    garbage_collector : GarbageCollector
+    relay_dispatcher : RelayDispatcher
         Hears which instance has the payload of a job.
     """
 
-    def __init__(self, *, context, log, scheduler, janitor, carriers):
+    def __init__(self, *, context, log, scheduler, garbage_collector, relay_dispatcher):
         self.context = context
         self.log = log
         self.scheduler = scheduler
-        self.janitor = janitor
-        self.carriers = carriers
+        self.garbage_collector = garbage_collector
+        self.relay_dispatcher = relay_dispatcher
         self._version = 0
         self._unreadable_job_ids = set()
 
@@ -41,7 +41,7 @@
         return self.context.clock.seconds()
 
     def take_over(self, state):
-        """Take on what the store has when a home begins; return the stops that follow.
+        """Take on what the store has when a leader begins; return the stops that follow.
 
         Parameters
         ----------
@@ -53,7 +53,7 @@
             value = self._decode_row(row, EndedJob)
             if value is not None:
                 self.scheduler.forget_job(row.key, JobState(value.state), self._now())
-                self.janitor.add(row.key, value.ended_at)
+                self.garbage_collector.add(row.key, value.ended_at)
         marks = [row for row in state.jobs if row.key.endswith(CANCEL_MARK)]
         for row in state.jobs:
             if not row.key.endswith(CANCEL_MARK):
@@ -77,7 +77,7 @@
         """Return a row's decoded value, or None if it cannot be decoded.
 
         The job of such a row is not run: without the row's content, tasks that are already done
-        could run again. An exception here would stop each successive home on the same row.
+        could run again. An exception here would stop each successive leader on the same row.
         """
         try:
             value = decode(row.value, value_type, error=PlatformError)
@@ -91,8 +91,8 @@
         return value
 
     def _add_row(self, row, record):
-        if self.scheduler.knows_job(row.key):
-            # Most rows that a home reads when it begins are of jobs that have ended.
+        if self.scheduler.has_job(row.key):
+            # Most rows that a leader reads when it begins are of jobs that have ended.
             self.known_up_to(row.version)
             return
         is_unreadable = row.key in self._unreadable_job_ids
@@ -115,7 +115,7 @@
             config_version=value.config_version,
         )
         if added:
-            self.carriers.note_entry(value.spec.job_id, value.entry)
+            self.relay_dispatcher.note_gateway(value.spec.job_id, value.entry)
             self.log.info(
                 "job taken on",
                 job=value.spec.job_id,
--- a/anvilflow/cell/_home.py
+++ b/anvilflow/cell/_leader.py
@@ -1,13 +1,13 @@
-"""The home of the cell: runs the scheduler, talks to the workers, answers about jobs."""
+"""The leader of the cell: runs the scheduler, talks to the workers, answers about jobs."""
 
 from twisted.internet.defer import inlineCallbacks
 
 from ..exceptions import PlatformError, TaskCrashesWorkersError
 from ..jobs import (
-    AskAdvice,
     NoteCrashingTask,
     NoteLostWorker,
     NoteWait,
+    RequestAdvice,
     SetPace,
     StartRun,
     StopRun,
@@ -15,51 +15,51 @@
 from ..platform import REGISTRY_TABLE
 from ..runtime import Part
 from ..utils import jitter, to_builtins
-from ._advisers import Advisers
-from ._carriers import Carriers
+from ._advice_dispatcher import AdviceDispatcher
 from ._context import LAG_PERIOD_S, Claimed, ConfigChanged, Deposed, Leaving
 from ._fleet import Fleet
 from ._follower import TableFollower
-from ._home_calls import HomeCalls
-from ._home_state import make_scheduler, read_state, readings_at_once
-from ._home_voice import HomeVoice
-from ._janitor import SWEEP_S, Janitor
+from ._garbage_collector import SWEEP_S, GarbageCollector
 from ._job_intake import JobIntake
 from ._job_store import read_jobs
-from ._load_beat import LoadBeat
+from ._leader_calls import LeaderCalls
+from ._leader_heartbeat import LeaderHeartbeat
+from ._leader_state import make_scheduler, read_state, readings_at_once
+from ._loading_heartbeat import LoadingHeartbeat
+from ._pending_jobs import PendingCounts
 from ._recorder import Recorder
+from ._relay_dispatcher import RelayDispatcher
 from ._tables import JOBS
-from ._waiting import Waiting
 
 #: Longest time between two plans: what falls due by time alone is seen by then. A plan with nothing
 #: to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
 PLAN_S = 0.05
 
-#: Time that changes are gathered for one plan at a home that is short of link or processor. Unit:
+#: Time that changes are gathered for one plan at a leader that is short of link or processor. Unit:
 #: seconds.
 SHORT_PLAN_S = 0.01
 
-#: Pause between readings of the accepted jobs. Entries tell the home of them at once; the feed
+#: Pause between readings of the accepted jobs. Entries tell the leader of them at once; the feed
 #: finds those whose entry died before it could. Unit: seconds.
 JOBS_FEED_S = 1.0
 
 #: Longest wait of one reading of the workers' entries. Unit: seconds.
 WORKERS_FEED_S = 2.0
 
-#: Silence of the store, for this instance alone, after which the home offers its place to another.
-#: Unit: seconds.
+#: Silence of the store, for this instance alone, after which the leader offers its place to
+#: another. Unit: seconds.
 STORE_BAD_S = 0.1
 
 #: Time for which each plan has to leave starts to a later one before entries are told how long new
 #: jobs wait: a burst that is over sooner makes nobody late. Unit: seconds.
 DEFERRED_S = 1.0
 
-#: Wait before a home that could not read its tables reads them again. Unit: seconds.
+#: Wait before a leader that could not read its tables reads them again. Unit: seconds.
 _AGAIN_S = 0.3
 
 
-class HomePart(Part):
-    """Exists idle in every instance; after a claim it is the home until it is deposed."""
+class LeaderPart(Part):
+    """Exists idle in every instance; after a claim it is the leader until it is deposed."""
 
     prefix = "home"
 
@@ -68,8 +68,8 @@
         self._claimed = None
         self._scheduler = None
         self._recorder = None
-        self._advisers = None
-        self._carriers = None
+        self._advice_dispatcher = None
+        self._relay_dispatcher = None
         self._fleet = None
         self._followers = []
         self._calls = None
@@ -77,30 +77,30 @@
         self._loaded = False
         self.loaded_at = None
         self._n_failed_loads = 0
-        self._load_beat = None
-        self._janitor = None
+        self._loading_heartbeat = None
+        self._garbage_collector = None
         self._intake = None
-        self._voice = HomeVoice(context=context, log=self.log, home=self)
+        self._leader_heartbeat = LeaderHeartbeat(context=context, log=self.log, leader=self)
 
     def start(self):
         """Wait for a claim."""
         self.on(Claimed, self._begin)
         self.on(Deposed, lambda *_: self._end())
         self.on(ConfigChanged, self._config_changed)
-        self.on(Leaving, lambda *_: self._voice.tell())
-        self.every(LAG_PERIOD_S, self._voice.beat_due)
+        self.on(Leaving, lambda *_: self._leader_heartbeat.tell())
+        self.every(LAG_PERIOD_S, self._leader_heartbeat.heartbeat_due)
         self.every(PLAN_S, self._plan_due)
         self.every(SWEEP_S, self._sweep, delay=SWEEP_S)
 
     def stop(self):
-        """Give up being home.
+        """Give up being leader.
 
         A part that is restarted after a fault has forgotten that it was. Said here, this instance
-        looks for the home again; else it would wait for itself for ever.
+        looks for the leader again; else it would wait for itself for ever.
         """
-        was_home = self._claimed is not None
+        was_leader = self._claimed is not None
         self._end()
-        if was_home:
+        if was_leader:
             self.deposed()
         super().stop()
 
@@ -126,11 +126,11 @@
             self._n_failed_loads = 0
         self._end()
         self._claimed = claimed
-        self._load_beat = LoadBeat(
+        self._loading_heartbeat = LoadingHeartbeat(
             context=self.context, claimed=claimed, on_deposed=self.deposed, on_error=self.fail_with
         )
-        self._load_beat.start()
-        self._voice.tell()
+        self._loading_heartbeat.start()
+        self._leader_heartbeat.tell()
         done = self._load(claimed)
         done.addErrback(self._load_failed, claimed)
         done.addErrback(self.fail_with)
@@ -140,7 +140,7 @@
         self.log.warning("jobs not loaded", error=str(failure.value))
         self._n_failed_loads += 1
         if self._claimed is claimed:
-            self._load_beat.close()
+            self._loading_heartbeat.close()
             self.later(jitter(self.context.random_state, _AGAIN_S), self._begin_again, claimed)
 
     def _begin_again(self, claimed):
@@ -159,15 +159,17 @@
         if self.context.config is not None:
             scheduler.configure(self.context.config)
         self._scheduler = scheduler
-        self._advisers = Advisers(context=self.context)
-        self._carriers = Carriers(context=self.context, log=self.log)
-        self._janitor = Janitor(context=self.context, on_removed=scheduler.forget_ended)
+        self._advice_dispatcher = AdviceDispatcher(context=self.context)
+        self._relay_dispatcher = RelayDispatcher(context=self.context, log=self.log)
+        self._garbage_collector = GarbageCollector(
+            context=self.context, on_removed=scheduler.forget_ended
+        )
         self._fleet = Fleet(
             context=self.context,
             log=self.log,
             scheduler=scheduler,
             token=claimed.token,
-            carriers=self._carriers,
+            relay_dispatcher=self._relay_dispatcher,
             events=self,
         )
         self._recorder = Recorder(
@@ -178,31 +180,31 @@
             on_deposed=self.deposed,
             on_confirmed=self._fleet.confirm,
         )
-        self._calls = HomeCalls(
+        self._calls = LeaderCalls(
             context=self.context,
             log=self.log,
             scheduler=scheduler,
             recorder=self._recorder,
-            home=self,
+            leader=self,
         )
         self._recorder.note_progress_rows(row.key for row in state.progress)
         self._intake = JobIntake(
             context=self.context,
             log=self.log,
             scheduler=scheduler,
-            janitor=self._janitor,
-            carriers=self._carriers,
+            garbage_collector=self._garbage_collector,
+            relay_dispatcher=self._relay_dispatcher,
         )
         self.act(self._intake.take_over(state))
         for row in state.workers:
-            self._fleet.take_entry(row)
+            self._fleet.take_registry_entry(row)
         for handover in claimed.former.handover if claimed.former is not None else ():
             self._fleet.take_handover(handover)
         self._loaded = True
         self.loaded_at = self.now
-        self._load_beat.close()
+        self._loading_heartbeat.close()
         self._n_failed_loads = 0
-        self.context.home = self
+        self.context.leader = self
         self.context.meters.timed("load", self.now - claimed_at)
         self.log.info(
             "home begins",
@@ -211,7 +213,7 @@
             jobs=len(state.jobs),
             workers=len(state.workers),
         )
-        self._voice.tell()
+        self._leader_heartbeat.tell()
         self._recorder.run().addErrback(self.fail_with)
         self._follow_all(state.jobs_version, state.workers_version)
 
@@ -219,8 +221,8 @@
     def _read_tables(self, claimed):
         """Return the state of the tables: what is known of them already, or read whole."""
         context = self.context
-        if context.warm_tables is not None:
-            state = yield context.warm_tables.state(claimed.former, context.config)
+        if context.standby_tables is not None:
+            state = yield context.standby_tables.state(claimed.former, context.config)
             if state is not None:
                 return state
         state = yield read_state(
@@ -236,10 +238,10 @@
         return readings_at_once(self.context.settings.link_mbps, n_failed)
 
     def _sweep(self):
-        return self._janitor.sweep() if self._janitor is not None else None
+        return self._garbage_collector.sweep() if self._garbage_collector is not None else None
 
     def deposed(self):
-        """Another home has begun."""
+        """Another leader has begun."""
         self.post(Deposed())
 
     def _end(self):
@@ -248,10 +250,10 @@
         self._claimed = None
         self._loaded = False
         self.loaded_at = None
-        if self._load_beat is not None:
-            self._load_beat.close()
-        if self.context.home is self:
-            self.context.home = None
+        if self._loading_heartbeat is not None:
+            self._loading_heartbeat.close()
+        if self.context.leader is self:
+            self.context.leader = None
         for follower in self._followers:
             follower.close()
         self._followers = []
@@ -259,8 +261,10 @@
             self._fleet.close()
         if self._recorder is not None:
             self._recorder.close()
-        self._recorder = self._scheduler = self._janitor = self._fleet = self._intake = None
-        self._carriers = None
+        self._recorder = self._scheduler = self._garbage_collector = self._fleet = self._intake = (
+            None
+        )
+        self._relay_dispatcher = None
         if self._calls is not None:
             self._calls.close()
         self._calls = None
@@ -274,18 +278,18 @@
     # Telling the others
 
     def measure_load(self):
-        """Note whether this instance is short of link or processor, as the home."""
-        if self._carriers is not None:
-            self._carriers.measure()
-            self.context.is_carried = self._carriers.are_used
+        """Note whether this instance is short of link or processor, as the leader."""
+        if self._relay_dispatcher is not None:
+            self._relay_dispatcher.measure()
+            self.context.uses_relays = self._relay_dispatcher.are_used
 
-    def beat(self):
-        """Return what the home says of itself and of what waits."""
-        return self._voice.full_beat()
+    def heartbeat(self):
+        """Return what the leader says of itself and of what waits."""
+        return self._leader_heartbeat.full_heartbeat()
 
     def waiting(self):
         """Return what waits, for the other instances."""
-        return Waiting(counts=self._scheduler.n_waiting(), version=self._intake.version)
+        return PendingCounts(counts=self._scheduler.n_waiting(), version=self._intake.version)
 
     def start_waits(self):
         """Return how long new jobs wait until their tasks can be sent, by priority."""
@@ -297,27 +301,27 @@
 
     @property
     def term(self):
-        """How many homes there were, this one included; 0 where this is none."""
+        """How many leaders there were, this one included; 0 where this is none."""
         return self._claimed.term if self._claimed else 0
 
     @property
-    def is_store_away(self):
-        """Whether the store has not answered the home's own calls for a while."""
+    def is_store_unavailable(self):
+        """Whether the store has not answered the leader's own calls for a while."""
         return self._recorder is not None and self._recorder.reach.bad_for_s > STORE_BAD_S
 
     @property
     def is_loading(self):
         """Whether this instance has claimed and still reads what lasts.
 
-        It says so: a home on a slow link that was silent meanwhile was taken for dead, and its
+        It says so: a leader on a slow link that was silent meanwhile was taken for dead, and its
         successor after it. One that cannot read its tables offers its place.
         """
         return self._claimed is not None and not self._loaded
 
     @property
-    def loads_in_vain(self):
+    def has_failed_loading(self):
         """Whether its tables cannot be read, or not in time."""
-        return self._n_failed_loads > 0 or (self.is_loading and self._load_beat.is_late)
+        return self._n_failed_loads > 0 or (self.is_loading and self._loading_heartbeat.is_late)
 
     # Following tables
 
@@ -344,23 +348,23 @@
         for follower, version in zip(self._followers, (jobs_version, workers_version), strict=True):
             follower.run(version).addErrback(self.fail_with)
 
-    def _take_jobs(self, rows, _, version, asked_at):
+    def _take_jobs(self, rows, _, version, requested_at):
         self._intake.known_up_to(version)
         for row in rows:
             self.act(self._intake.take(row))
-        self._scheduler.jobs_read(asked_at)
+        self._scheduler.jobs_read(requested_at)
         self._fleet.acknowledge()
-        self._recorder.hurry()
+        self._recorder.trigger()
         self.changed()
 
     def _take_workers(self, rows, is_whole, version, _):
         self._scheduler.registry_version = version
         for row in rows:
-            self._fleet.take_entry(row)
+            self._fleet.take_registry_entry(row)
         if is_whole:
             names = {row.key for row in rows}
             for worker_id in set(self._scheduler.workers) - names:
-                self._fleet.entry_gone(worker_id)
+                self._fleet.registry_entry_removed(worker_id)
         self.changed()
 
     def add_job(self, value, version):
@@ -377,25 +381,25 @@
     def changed(self):
         """Plan in this turn of the reactor, once for all that changes in it.
 
-        A home that is short of processor plans once for what changes in some turns.
+        A leader that is short of processor plans once for what changes in some turns.
         """
         if self._planned is None and self._scheduler is not None:
-            self._planned = self.later(SHORT_PLAN_S if self.context.is_carried else 0, self._plan)
+            self._planned = self.later(SHORT_PLAN_S if self.context.uses_relays else 0, self._plan)
 
     def _plan(self):
         self._planned = None
         scheduler = self._scheduler
-        if scheduler is None or not self._loaded or not self._fleet.may_order():
+        if scheduler is None or not self._loaded or not self._fleet.may_send_commands():
             return
-        scheduler.is_store_away = self.is_store_away
-        scheduler.n_advisers = self._advisers.n_advisers
+        scheduler.is_store_unavailable = self.is_store_unavailable
+        scheduler.n_advice_callers = self._advice_dispatcher.n_advice_callers
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_starts():
             self.context.meters.timed("first_start", seconds)
         n_wanted = self._fleet.n_wanted_starts()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
         if scheduler.holds_starts:
-            self._recorder.hurry()
+            self._recorder.trigger()
 
     def _plan_due(self):
         if self._planned is None:
@@ -407,8 +411,8 @@
             return
         for action in actions:
             match action:
-                case AskAdvice():
-                    self._ask_advice(action)
+                case RequestAdvice():
+                    self._request_advice(action)
                 case StartRun():
                     self._fleet.start(action)
                 case StopRun():
@@ -435,33 +439,35 @@
         )
         self.log.warning("job failed", **to_builtins(note), error=str(cause))
 
-    def _ask_advice(self, action):
-        done = self._advisers.ask(action.step, action.workers, action.length_s)
-        done.addCallback(self._advised, action, self._scheduler, self.now)
+    def _request_advice(self, action):
+        done = self._advice_dispatcher.ask(action.step, action.workers, action.length_s)
+        done.addCallback(self._advice_received, action, self._scheduler, self.now)
         done.addErrback(self.fail_with)
 
-    def _advised(self, advice, action, scheduler, asked_at):
+    def _advice_received(self, advice, action, scheduler, requested_at):
         if self._scheduler is not scheduler:
             return
-        self.context.meters.timed("advice", self.now - asked_at)
+        self.context.meters.timed("advice", self.now - requested_at)
         if advice is None:
-            scheduler.advised(action.step, action.workers, None, 0.0, self.now)
+            scheduler.advice_received(action.step, action.workers, None, 0.0, self.now)
         else:
             # The ticket's time runs from its making, which is at most the call's length ago.
             valid_until = self.now + advice.valid_s
-            scheduler.advised(action.step, action.workers, advice.tickets, valid_until, self.now)
+            scheduler.advice_received(
+                action.step, action.workers, advice.tickets, valid_until, self.now
+            )
         self.log.debug(
             "advice",
             step=action.step,
             asked=len(action.workers),
             good=len(advice.tickets) if advice is not None else None,
-            took_s=round(self.now - asked_at, 3),
+            took_s=round(self.now - requested_at, 3),
         )
         self.changed()
 
     def ends_told(self):
         """Ends wait for their record."""
-        self._recorder.hurry()
+        self._recorder.trigger()
 
     # Records
 
@@ -470,8 +476,8 @@
         self.changed()
         self._fleet.acknowledge()
         for job in ended:
-            self._janitor.add(job.job_id, self.context.wall_clock())
-            self._janitor.shorten(job)
-            self._carriers.forget_job(job.job_id)
+            self._garbage_collector.add(job.job_id, self.context.wall_clock())
+            self._garbage_collector.shorten(job)
+            self._relay_dispatcher.forget_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -1,8 +1,8 @@
-"""Connections between instances: each to the home, over which calls go both ways."""
+"""Connections between instances: each to the leader, over which calls go both ways."""
 
 from twisted.internet.defer import Deferred, TimeoutError, fail
 
-from ..exceptions import NotReadyError, PeerSilentError
+from ..exceptions import NotReadyError, PeerTimeoutError
 from ..peers import Link, LinkFactory
 from ..peers.gen.ttypes import (
     AdviceCall,
@@ -15,7 +15,7 @@
     WorkerOrder,
 )
 from ..runtime import Part
-from ._strength import in_order, told_cpu_milli
+from ._leader_eligibility import rank_candidates, reported_cpu_milli
 
 #: Messages that wait on one link at the most.
 QUEUE_LIMIT = 5000
@@ -23,19 +23,19 @@
 #: Wait for a connection to another instance. One way takes about 1 ms. Unit: seconds.
 DIAL_TIMEOUT_S = 0.4
 
-#: Wait for the word of an instance that it is the home, which it sends with its hello. Unit:
+#: Wait for the word of an instance that it is the leader, which it sends with its hello. Unit:
 #: seconds.
 WORD_TIMEOUT_S = 0.15
 
-#: Successors whose addresses the home tells. The next home is one of the first, and in a cell of 44
-#: each address is sent 220 times a second.
+#: Successors whose addresses the leader tells. The next leader is one of the first, and in a cell
+#: of 44 each address is sent 220 times a second.
 MAX_ADDRESSES = 3
 
 #: Time by which an instance must have been started after another one to count as started anew:
 #: those of a cell that begins start within seconds of each other. Unit: seconds.
 RESTARTED_S = 4.0
 
-#: Time for which a home that loses its place remembers who was connected: all others leave it
+#: Time for which a leader that loses its place remembers who was connected: all others leave it
 #: within milliseconds for the next one, and it sees its own end up to a second later. Unit:
 #: seconds.
 REMEMBERED_S = 5.0
@@ -46,7 +46,7 @@
 
     Notes
     -----
-    An instance keeps one connection, to the home; the home has one from each instance. At 41
+    An instance keeps one connection, to the leader; the leader has one from each instance. At 41
     instances this makes 40 connections where a full mesh would have 820.
     """
 
@@ -55,7 +55,7 @@
     def __init__(self, *, context):
         super().__init__(context=context)
         self.peers = {}
-        self.home_link = None
+        self.leader_link = None
         self._calls = {}
         self._asked = {}
         self._gone = {}
@@ -78,7 +78,7 @@
         """Close all connections."""
         self._stopped = True
         self.context.links = None
-        self.leave_home()
+        self.leave_leader()
         for link in list(self.peers.values()):
             link.abort()
         super().stop()
@@ -99,8 +99,8 @@
 
     @property
     def reaches_home(self):
-        """Whether this instance is the home or is connected to it."""
-        return self.context.home is not None or self.home_link is not None
+        """Whether this instance is the leader or is connected to it."""
+        return self.context.leader is not None or self.leader_link is not None
 
     @property
     def n_bytes_out(self):
@@ -113,20 +113,20 @@
         return self._n_bytes_in + sum(link.n_bytes_in for link in self._open_links())
 
     def _open_links(self):
-        home = (self.home_link,) if self.home_link is not None else ()
-        return [*self.peers.values(), *home]
+        leader = (self.leader_link,) if self.leader_link is not None else ()
+        return [*self.peers.values(), *leader]
 
     @property
     def successors(self):
-        """Names of the connected instances in the order in which they should become the home."""
+        """Names of the connected instances in the order in which they should become the leader."""
         hellos = [link.peer for link in self.peers.values()]
-        return [hello.instance for hello in in_order(hellos, self._restarted)]
+        return [hello.instance for hello in rank_candidates(hellos, self._restarted)]
 
     @property
     def most_cpu_milli(self):
         """Processor of the first of them, 0 when there is none. Unit: thousandths of a core."""
-        hellos = in_order(link.peer for link in self.peers.values())
-        return told_cpu_milli(hellos[0]) if hellos else 0
+        hellos = rank_candidates(link.peer for link in self.peers.values())
+        return reported_cpu_milli(hellos[0]) if hellos else 0
 
     @property
     def successor_addresses(self):
@@ -134,15 +134,15 @@
         since = self.now - REMEMBERED_S
         hellos = {name: hello for name, (hello, at) in self._gone.items() if at >= since}
         hellos.update((name, link.peer) for name, link in self.peers.items())
-        first = in_order(hellos.values(), self._restarted)
+        first = rank_candidates(hellos.values(), self._restarted)
         return [hello.address for hello in first if hello.address][:MAX_ADDRESSES]
 
-    # To the home
+    # To the leader
 
-    def ask_for_home(self, address):
-        """Connect to an instance; the Deferred fires with its :class:`HomeWord`, or None.
+    def ask_for_leader(self, address):
+        """Connect to an instance; the Deferred fires with its :class:`LeaderReply`, or None.
 
-        None says that it is not the home, or is not reached.
+        None says that it is not the leader, or is not reached.
         """
         done = self.dial(address)
         done.addCallback(self._await_word)
@@ -181,15 +181,15 @@
         link.abort()
         return failure
 
-    def follow_home(self, link):
-        """Use a link as the one to the home."""
-        if self.home_link is not None and self.home_link is not link:
-            self.home_link.abort()
-        self.home_link = link
+    def follow_leader(self, link):
+        """Use a link as the one to the leader."""
+        if self.leader_link is not None and self.leader_link is not link:
+            self.leader_link.abort()
+        self.leader_link = link
 
-    def leave_home(self):
-        """Drop the connection to the home."""
-        link, self.home_link = self.home_link, None
+    def leave_leader(self):
+        """Drop the connection to the leader."""
+        link, self.leader_link = self.leader_link, None
         if link is not None:
             link.abort()
 
@@ -203,8 +203,8 @@
             return
         self.peers[link.peer.instance] = link
         self._note_start(link.peer)
-        if self.context.home is not None:
-            link.send(self.context.home.beat())
+        if self.context.leader is not None:
+            link.send(self.context.leader.heartbeat())
 
     def _note_start(self, hello):
         """Note whether an instance was started after this one."""
@@ -221,23 +221,23 @@
         for call, (used, done) in list(self._calls.items()):
             if used is link:
                 del self._calls[call]
-                done.errback(PeerSilentError("the connection to the other instance is gone"))
-        if link is self.home_link:
-            self.home_link = None
+                done.errback(PeerTimeoutError("the connection to the other instance is gone"))
+        if link is self.leader_link:
+            self.leader_link = None
             if not self._stopped:
-                self.post(HomeLinkLost())
+                self.post(LeaderLinkLost())
         if link.peer is not None and self.peers.get(link.peer.instance) is link:
             del self.peers[link.peer.instance]
             self._gone[link.peer.instance] = (link.peer, self.now)
         asked = self._asked.pop(link, None)
         if asked is not None:
-            asked.errback(PeerSilentError("the connection to the other instance is gone"))
+            asked.errback(PeerTimeoutError("the connection to the other instance is gone"))
 
     def link_broken(self, link, error):
         """The other end sent what cannot be read."""
         self.log.warning("instance sent a malformed frame", error=str(error))
 
-    def link_heard(self, link, body):
+    def link_message(self, link, body):
         """Hand a message to whom it is for."""
         match body:
             case JobReply() | AdviceReply() | WorkerAnswer():
@@ -247,37 +247,37 @@
             case HomeBeat():
                 asked = self._asked.pop(link, None)
                 if asked is not None:
-                    asked.callback(HomeWord(link=link, beat=body))
-                elif link is self.home_link:
-                    if body.sent_ms is not None and self.context.carrier is not None:
-                        self.context.carrier.heard(link, body.sent_ms)
+                    asked.callback(LeaderReply(link=link, heartbeat=body))
+                elif link is self.leader_link:
+                    if body.sent_ms is not None and self.context.relay is not None:
+                        self.context.relay.heard(link, body.sent_ms)
                     self.context.bus.post(body, source=link.peer.instance)
             case JobCall():
                 self._serve_job(link, body)
             case AdviceCall():
                 self._serve_advice(link, body)
             case WorkerOrder():
-                if self.context.carrier is not None:
-                    self.context.carrier.serve(link, body)
+                if self.context.relay is not None:
+                    self.context.relay.serve(link, body)
 
     # Calls
 
-    def ask_home(self, timeout, **values):
-        """Make a :class:`JobCall` to the home, which may be this instance."""
-        if self.context.home is not None:
-            return self.context.home.serve(JobCall(call=0, **values))
-        if self.home_link is None:
+    def call_leader(self, timeout, **values):
+        """Make a :class:`JobCall` to the leader, which may be this instance."""
+        if self.context.leader is not None:
+            return self.context.leader.serve(JobCall(call=0, **values))
+        if self.leader_link is None:
             return fail(NotReadyError("no home is known"))
-        return self._call(self.home_link, JobCall, timeout, values)
+        return self._call(self.leader_link, JobCall, timeout, values)
 
-    def ask_advice(self, instance, timeout, **values):
+    def request_advice(self, instance, timeout, **values):
         """Make an :class:`AdviceCall` to an instance that is connected here."""
         link = self.peers.get(instance)
         if link is None:
             return fail(NotReadyError(f"{instance} is not connected"))
         return self._call(link, AdviceCall, timeout, values)
 
-    def ask_carrier(self, instance, timeout, **values):
+    def call_relay(self, instance, timeout, **values):
         """Make a :class:`WorkerOrder` to an instance that is connected here."""
         link = self.peers.get(instance)
         if link is None:
@@ -299,15 +299,15 @@
     def _call_failed(self, failure, number):
         self._calls.pop(number, None)
         if failure.check(TimeoutError):
-            raise PeerSilentError("the other instance gave no answer in time") from failure.value
+            raise PeerTimeoutError("the other instance gave no answer in time") from failure.value
         return failure
 
     def _serve_job(self, link, body):
-        home = self.context.home
-        if home is None:
+        leader = self.context.leader
+        if leader is None:
             link.send(JobReply(call=body.call, outcome="not home", count=0))
             return
-        done = home.serve(body)
+        done = leader.serve(body)
         done.addCallback(self._reply_job, link, body.call)
         done.addErrback(self._refuse_job, link, body.call)
 
@@ -336,23 +336,23 @@
         done.addCallback(link.send)
 
 
-class HomeWord:
-    """An instance said that it is the home.
+class LeaderReply:
+    """An instance said that it is the leader.
 
     Parameters
     ----------
     link : Link
-    beat : HomeBeat
+    heartbeat : HomeBeat
     """
 
-    __slots__ = ("beat", "link")
+    __slots__ = ("heartbeat", "link")
 
-    def __init__(self, *, link, beat):
+    def __init__(self, *, link, heartbeat):
         self.link = link
-        self.beat = beat
+        self.heartbeat = heartbeat
 
 
-class HomeLinkLost:
-    """The connection to the home is gone."""
+class LeaderLinkLost:
+    """The connection to the leader is gone."""
 
     __slots__ = ()
--- a/anvilflow/cell/_load_beat.py
+++ b/anvilflow/cell/_loading_heartbeat.py
@@ -1,31 +1,31 @@
-"""Shows that a home lives while it reads its tables."""
+"""Shows that a leader lives while it reads its tables."""
 
 from msgspec import Struct
 
 from ..exceptions import PlatformError, PreconditionError
 from ..utils import Ticker, decode
-from ._recorder import BEAT_S
-from ._tables import HOME, HOME_KEY, LOADING_KEY, HomeRow, condition, write
+from ._recorder import HEARTBEAT_S
+from ._tables import LEADER_KEY, LEADER_TABLE, LOADING_KEY, LeaderRow, condition, write
 
-#: Time after which a home that still loads offers its place. 1.7 MB, the rows of all jobs of 140 s
-#: at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
+#: Time after which a leader that still loads offers its place. 1.7 MB, the rows of all jobs of 140
+#: s at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
 FIRST_LOAD_S = 5.0
 
-#: Each claim in a row after which no home has begun doubles that time, at the most so often: where
-#: all links are slower than thought, one of them has the time that it needs.
+#: Each claim in a row after which no leader has begun doubles that time, at the most so often:
+#: where all links are slower than thought, one of them has the time that it needs.
 MAX_DOUBLINGS = 5
 
 
 class LoadingRow(Struct, kw_only=True):
-    """Written again and again by a home that loads; only that its version grows counts."""
+    """Written again and again by a leader that loads; only that its version grows counts."""
 
     incarnation: str
 
 
-class LoadBeat:
-    """Writes a row beside the home's until closed.
+class LoadingHeartbeat:
+    """Writes a row beside the leader's until closed.
 
-    Over a slow link a home loads for seconds. An instance that did not reach it saw a row that
+    Over a slow link a leader loads for seconds. An instance that did not reach it saw a row that
     stood still, and claimed; if the two did not reach each other they took turns, each deposed
     before it had started a task.
 
@@ -38,9 +38,10 @@
 
     Notes
     -----
-    Each write is made on the condition that the home's row is as the claim left it, so that another
-    claim ends it. The home's row itself stays: a late write to it could be taken for a record. No
-    write waits for the answer to the one before, which may come late over the link that is full.
+    Each write is made on the condition that the leader's row is as the claim left it, so that
+    another claim ends it. The leader's row itself stays: a late write to it could be taken for a
+    record. No write waits for the answer to the one before, which may come late over the link that
+    is full.
     """
 
     def __init__(self, *, context, claimed, on_deposed, on_error):
@@ -50,7 +51,7 @@
         self.on_error = on_error
         # Where the store is slow a write takes as long as a reading: more of them would queue in
         # the part, and others look less often, too.
-        period = max(BEAT_S, context.store_health.answer_s)
+        period = max(HEARTBEAT_S, context.store_health.answer_s)
         self._ticker = Ticker(
             clock=context.clock, period=period, call=self._write, on_error=on_error
         )
@@ -60,7 +61,7 @@
 
     @property
     def is_late(self):
-        """Whether the home has loaded for so long that another one should try.
+        """Whether the leader has loaded for so long that another one should try.
 
         Answers that trickle over a squeezed link neither fail nor end, and nobody else may begin.
         """
@@ -80,7 +81,8 @@
             return
         row = LoadingRow(incarnation=self.context.incarnation)
         done = self.context.store.commit(
-            [condition(HOME, HOME_KEY, self.claimed.row_version)], [write(HOME, LOADING_KEY, row)]
+            [condition(LEADER_TABLE, LEADER_KEY, self.claimed.row_version)],
+            [write(LEADER_TABLE, LOADING_KEY, row)],
         )
         done.addErrback(self._not_written)
         done.addErrback(self.on_error)
@@ -89,8 +91,8 @@
         failure.trap(PlatformError)
         if self._closed or not failure.check(PreconditionError):
             return
-        rows = [row for row in failure.value.details["rows"] if row.key == HOME_KEY]
-        holder = decode(rows[0].value, HomeRow, error=PlatformError) if rows else None
+        rows = [row for row in failure.value.details["rows"] if row.key == LEADER_KEY]
+        holder = decode(rows[0].value, LeaderRow, error=PlatformError) if rows else None
         if holder is None or holder.incarnation != self.context.incarnation:
             self.close()
             self.on_deposed()
--- a/anvilflow/cell/_carriers.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -1,18 +1,18 @@
-"""Which instances make the home's calls to workers."""
+"""Which instances make the leader's calls to workers."""
 
 from ..decisions import choose_owner
-from ..exceptions import NotReadyError, PeerSilentError
-from ._strength import is_fit
-from ._worker_orders import LATE, LEAVING
+from ..exceptions import NotReadyError, PeerTimeoutError
+from ._leader_eligibility import can_lead
+from ._worker_commands import LATE, LEAVING
 
-#: Time beyond an order's own limit for which its answer is waited for: the way to the carrier and
+#: Time beyond an order's own limit for which its answer is waited for: the way to the relay and
 #: back, and its turn there. Unit: seconds.
 HOP_S = 0.3
 
-#: Time for which a carrier gets no orders after one that it did not answer, or did not carry out:
+#: Time for which a relay gets no orders after one that it did not answer, or did not carry out:
 #: doubled each time up to the longest, unless it carried out orders for as long. Unit: seconds.
-REST_S = 1.0
-MAX_REST_S = 16.0
+BACKOFF_S = 1.0
+MAX_BACKOFF_S = 16.0
 
 #: Share of the link, in either direction, from which orders are carried: bursts are several times
 #: what is usual, and on a full link all calls are late.
@@ -21,12 +21,12 @@
 #: Time for which orders are carried after the link was short. Unit: seconds.
 BUSY_KEPT_S = 10.0
 
-#: Time for which the list of carriers is kept: orders to one that has gone meanwhile are not sent,
+#: Time for which the list of relays is kept: orders to one that has gone meanwhile are not sent,
 #: and go to the next. Unit: seconds.
 NAMES_KEPT_S = 0.1
 
 
-class Carriers:
+class RelayDispatcher:
     """Chooses an instance for each order, and has the order carried out there.
 
     Starts go to the instance that accepted the job, which has its payload; what else goes to a
@@ -40,15 +40,15 @@
 
     Notes
     -----
-    Carriers decide nothing. Tokens, leases, time limits, retries and the number of starts under way
-    are the home's, and an order that a carrier did not answer means what a call without an answer
+    Relays decide nothing. Tokens, leases, time limits, retries and the number of starts under way
+    are the leader's, and an order that a relay did not answer means what a call without an answer
     means.
     """
 
     def __init__(self, *, context, log):
         self.context = context
         self.log = log
-        self._entries = {}
+        self._gateways = {}
         self._names = ()
         self._names_until = float("-inf")
         self._n_peers = 0
@@ -61,20 +61,20 @@
 
     @property
     def are_used(self):
-        """Whether the home's own link or processor is short, so that others make its calls.
+        """Whether the leader's own link or processor is short, so that others make its calls.
 
-        Of the processor what the settings tell counts, not the lag: while a home is late the change
-        itself would make it later.
+        Of the processor what the settings tell counts, not the lag: while a leader is late the
+        change itself would make it later.
         """
         settings = self.context.settings
-        if not is_fit(settings.link_mbps, settings.cpu_milli):
+        if not can_lead(settings.link_mbps, settings.cpu_milli):
             return True
         return self.context.clock.seconds() < self._busy_until
 
     def measure(self):
         """Note whether the link is short now."""
         now = self.context.clock.seconds()
-        use = self.context.link_use
+        use = self.context.link_utilization
         use.measure(now)
         if use.share >= BUSY_SHARE:
             if not self.are_used:
@@ -83,18 +83,18 @@
 
     # Who carries what
 
-    def note_entry(self, job_id, name):
+    def note_gateway(self, job_id, name):
         """Note which instance has a job's payload."""
         if name:
-            self._entries[job_id] = name
+            self._gateways[job_id] = name
 
     def forget_job(self, job_id):
         """Forget a job that has ended."""
-        self._entries.pop(job_id, None)
+        self._gateways.pop(job_id, None)
 
     def for_worker(self, worker_id):
-        """Return the instance that holds a worker, or None: the home itself does."""
-        names = self._carriers()
+        """Return the instance that holds a worker, or None: the leader itself does."""
+        names = self._relay_names()
         if not names:
             return None
         holder = self._holders.get(worker_id)
@@ -104,11 +104,11 @@
 
     def for_start(self, worker_id, job_id):
         """Return the instance that sends the starts of a job to a worker, or None."""
-        names = self._carriers()
-        entry = self._entries.get(job_id)
-        return entry if entry in names else self.for_worker(worker_id)
+        names = self._relay_names()
+        gateway = self._gateways.get(job_id)
+        return gateway if gateway in names else self.for_worker(worker_id)
 
-    def _carriers(self):
+    def _relay_names(self):
         if not self.are_used or self.context.links is None:
             return ()
         now = self.context.clock.seconds()
@@ -151,11 +151,11 @@
         Raises
         ------
         NotReadyError
-            AF204, the order was not sent to the carrier.
-        PeerSilentError
+            AF204, the order was not sent to the relay.
+        PeerTimeoutError
             AF502, it may be carried out.
         """
-        done = self.context.links.ask_carrier(
+        done = self.context.links.call_relay(
             name,
             limit_s + held_s + HOP_S,
             verb=verb,
@@ -166,7 +166,7 @@
         return done.addErrback(self._silent, name)
 
     def _silent(self, failure, name):
-        failure.trap(NotReadyError, PeerSilentError)
+        failure.trap(NotReadyError, PeerTimeoutError)
         self.rest(name, "silent")
         return failure
 
@@ -184,8 +184,8 @@
         until, length_s = self._rests.get(name, (float("-inf"), 0.0))
         if now < until:
             return
-        is_again = now - until < MAX_REST_S
-        length_s = min(MAX_REST_S, 2 * length_s) if is_again else REST_S
+        is_again = now - until < MAX_BACKOFF_S
+        length_s = min(MAX_BACKOFF_S, 2 * length_s) if is_again else BACKOFF_S
         self._rests[name] = (now + length_s, length_s)
         self._names_until = float("-inf")
         self.log.info("carrier rests", carrier=name, why=why, rest_s=length_s)
--- a/anvilflow/cell/_warm_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -1,18 +1,18 @@
-"""Tables of the cell, followed by the instances that come next as its home."""
+"""Tables of the cell, followed by the instances that come next as its leader."""
 
 from twisted.internet.defer import inlineCallbacks
 
 from ..exceptions import PlatformError, RevisionGoneError
 from ..platform import REGISTRY_TABLE
 from ..runtime import Part
-from ._home_state import StoredState, find_missing, gather, readings_at_once
 from ._job_store import read_jobs
-from ._registry import names_worker
-from ._strength import is_fit
+from ._leader_eligibility import can_lead
+from ._leader_state import StoredState, find_missing, gather, readings_at_once
+from ._registry import is_worker_entry
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
-#: Successors that follow the tables: the next home, and the one after it.
-N_WARM = 2
+#: Successors that follow the tables: the next leader, and the one after it.
+N_STANDBYS = 2
 
 #: Pause between readings of what has changed. Unit: seconds.
 PERIOD_S = 0.5
@@ -22,7 +22,7 @@
 IDLE_PERIOD_S = 5.0
 
 #: Time for which the tables are kept by an instance that is no successor any more: between two
-#: homes there is no order. Unit: seconds.
+#: leaders there is no order. Unit: seconds.
 KEPT_S = 5.0
 
 _TABLES = (JOBS, PROGRESS, ENDED, REGISTRY_TABLE)
@@ -54,12 +54,12 @@
         self.version = version
 
 
-class WarmTablesPart(Part):
-    """Follows the tables that a home reads when it begins, while this instance is a successor.
+class StandbyTablesPart(Part):
+    """Follows the tables that a leader reads when it begins, while this instance is a successor.
 
-    Over a narrow link, and with little processor, a new home read them for seconds. Leases ended
+    Over a narrow link, and with little processor, a new leader read them for seconds. Leases ended
     meanwhile, and callers were refused. After a claim only what has changed since is read; the
-    claim fences the former home, so that nothing of its records comes later.
+    claim fences the former leader, so that nothing of its records comes later.
     """
 
     prefix = "warm"
@@ -70,32 +70,32 @@
         self._wanted_at = float("-inf")
 
     def start(self):
-        """Follow the tables whenever this instance is one of the next homes."""
-        self.context.warm_tables = self
+        """Follow the tables whenever this instance is one of the next leaders."""
+        self.context.standby_tables = self
         self.every(self._period_s, self._follow)
 
     def stop(self):
         """Forget them."""
-        self.context.warm_tables = None
+        self.context.standby_tables = None
         super().stop()
 
     @property
-    def is_warm(self):
+    def is_complete(self):
         """Whether all tables have been read."""
         return len(self._tables) == len(_TABLES)
 
     def _has_room(self):
         settings = self.context.settings
-        return is_fit(settings.link_mbps, settings.cpu_milli)
+        return can_lead(settings.link_mbps, settings.cpu_milli)
 
     def _period_s(self):
         return IDLE_PERIOD_S if self._has_room() else PERIOD_S
 
     def _is_wanted(self):
         context = self.context
-        if self._has_room() or context.home is not None:
+        if self._has_room() or context.leader is not None:
             return False
-        return context.name in context.successors[:N_WARM]
+        return context.name in context.successors[:N_STANDBYS]
 
     @inlineCallbacks
     def _follow(self):
@@ -107,7 +107,7 @@
         if self.context.store_health.is_bad:
             return
         try:
-            if self.is_warm:
+            if self.is_complete:
                 yield self._catch_up()
             else:
                 yield self._read()
@@ -151,11 +151,11 @@
 
         Parameters
         ----------
-        former : HomeRow or None
+        former : LeaderRow or None
         config : CellConfig or None
             As in :func:`read_state`.
         """
-        if not self.is_warm:
+        if not self.is_complete:
             return None
         try:
             yield self._catch_up()
@@ -166,7 +166,7 @@
         rows = {name: list(table.rows.values()) for name, table in self._tables.items()}
         workers = rows[REGISTRY_TABLE]
         if missing is not None:
-            missing -= {row.key for row in workers if names_worker(row, config)}
+            missing -= {row.key for row in workers if is_worker_entry(row, config)}
         return StoredState(
             jobs=rows[JOBS],
             jobs_version=self._tables[JOBS].version,
--- a/anvilflow/cell/_routed_calls.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -1,33 +1,33 @@
-"""Calls to one worker, made by other instances while the home is short of link or processor."""
+"""Calls to one worker, made by other instances while the leader is short of link or processor."""
 
 from msgspec import Struct
 
 from ..exceptions import (
     NotReadyError,
     PayloadGoneError,
-    PeerSilentError,
+    PeerTimeoutError,
     PlatformError,
     WorkerRefusedError,
     WorkerUnreachableError,
 )
 from ._tables import has_payload
-from ._worker_orders import (
-    OrderOutcome,
+from ._worker_commands import (
+    CommandOutcome,
     Verb,
     clock_of_answer,
     raise_failed,
     report_of_answer,
 )
 
-#: Other instances that are tried for an order before the home makes the call itself.
-MAX_CARRIERS = 2
+#: Other instances that are tried for an order before the leader makes the call itself.
+MAX_RELAYS = 2
 
 #: Labels of who makes a call.
 _DIRECT = "direct"
 _CARRIED = "carried"
 
 
-class _Order(Struct):
+class _Command(Struct):
     """One call on its way.
 
     Parameters
@@ -54,54 +54,56 @@
     limit_s: float
     held_s: float
     values: dict
-    n_left: int = MAX_CARRIERS
+    n_left: int = MAX_RELAYS
 
 
-class RoutedCalls:
+class WorkerCallRouter:
     """The interface of :class:`WorkerCalls`, with a choice of who makes each call.
 
     Parameters
     ----------
     direct : WorkerCalls
-        Of the home itself.
+        Of the leader itself.
     info : WorkerInfo
-    carriers : Carriers
+    relay_dispatcher : RelayDispatcher
     context : CellContext
 
     Notes
     -----
-    An order that was certainly not sent goes to the next carrier, and at last out from here. A hold
-    that a worker did not answer a carrier is made once more from here: a carrier that is cut off
+    An order that was certainly not sent goes to the next relay, and at last out from here. A hold
+    that a worker did not answer a relay is made once more from here: a relay that is cut off
     from its share of the workers must not make them look dark. A start without an answer may be at
     work, and is left to the session's own retries.
     """
 
-    def __init__(self, *, direct, info, carriers, context):
+    def __init__(self, *, direct, info, relay_dispatcher, context):
         self.direct = direct
         self.worker_id = info.worker_id
         self.timeout = direct.timeout
         self._address = info.address
-        self._carriers = carriers
+        self._relay_dispatcher = relay_dispatcher
         self._context = context
 
-    def hold(self, *, seen, until_s, wait_s, timeout=None):
-        """Renew the lease of all that runs, see :meth:`WorkerCalls.hold`."""
+    def renew_leases(self, *, seen, until_s, wait_s, timeout=None):
+        """Renew the lease of all that runs, see :meth:`WorkerCalls.renew_leases`."""
 
-        def hold_directly(held_s=wait_s):
-            return self.direct.hold(seen=seen, until_s=until_s, wait_s=held_s, timeout=timeout)
+        def renew_directly(held_s=wait_s):
+            return self.direct.renew_leases(
+                seen=seen, until_s=until_s, wait_s=held_s, timeout=timeout
+            )
 
         until_ms = None if until_s is None else int(1000 * until_s)
         values = {"seen": seen, "until_ms": until_ms, "wait_ms": round(1000 * wait_s)}
         return self._send(
-            self._order(
-                Verb.HOLD, hold_directly, report_of_answer, timeout, values=values, held_s=wait_s
+            self._command(
+                Verb.HOLD, renew_directly, report_of_answer, timeout, values=values, held_s=wait_s
             )
         )
 
     def start(self, action, *, until_s, timeout=None):
         """Start a run, see :meth:`WorkerCalls.start`."""
         job_id = action.task.partition(".")[0]
-        order = self._order(
+        command = self._command(
             Verb.START,
             lambda: self._start_directly(action, job_id, until_s, timeout),
             clock_of_answer,
@@ -114,14 +116,14 @@
                 "ticket": action.ticket or None,
             },
         )
-        order.choose = lambda: self._carriers.for_start(self.worker_id, job_id)
-        return self._send(order)
+        command.choose = lambda: self._relay_dispatcher.for_start(self.worker_id, job_id)
+        return self._send(command)
 
     def stop(self, action, *, timeout=None):
         """Stop a run, see :meth:`WorkerCalls.stop`."""
         values = {"task": action.task, "run_id": action.run_id}
         return self._send(
-            self._order(
+            self._command(
                 Verb.STOP,
                 lambda: self.direct.stop(action, timeout=timeout),
                 _nothing_of_answer,
@@ -134,7 +136,7 @@
         """Change the pace of a run, see :meth:`WorkerCalls.set_pace`."""
         values = {"task": action.task, "run_id": action.run_id, "percent": action.percent}
         return self._send(
-            self._order(
+            self._command(
                 Verb.PACE,
                 lambda: self.direct.set_pace(action, timeout=timeout),
                 _nothing_of_answer,
@@ -143,8 +145,8 @@
             )
         )
 
-    def _order(self, verb, direct, convert, timeout, *, values, held_s=0.0):
-        return _Order(
+    def _command(self, verb, direct, convert, timeout, *, values, held_s=0.0):
+        return _Command(
             verb=verb,
             choose=self._choose_holder,
             direct=direct,
@@ -155,7 +157,7 @@
         )
 
     def _choose_holder(self):
-        return self._carriers.for_worker(self.worker_id)
+        return self._relay_dispatcher.for_worker(self.worker_id)
 
     def _start_directly(self, action, job_id, until_s, timeout):
         if has_payload(action):
@@ -170,57 +172,57 @@
 
     # One order on its way
 
-    def _send(self, order):
+    def _send(self, command):
         """Have an order carried out, or make the call; the Deferred fires with its result."""
-        name = order.choose() if order.n_left else None
+        name = command.choose() if command.n_left else None
         if name is None:
-            self._count(order, _DIRECT)
-            return order.direct()
-        order.n_left -= 1
-        self._count(order, _CARRIED)
-        done = self._carriers.ask(
+            self._count(command, _DIRECT)
+            return command.direct()
+        command.n_left -= 1
+        self._count(command, _CARRIED)
+        done = self._relay_dispatcher.ask(
             name,
-            order.verb,
-            order.limit_s,
-            held_s=order.held_s,
+            command.verb,
+            command.limit_s,
+            held_s=command.held_s,
             token=self.direct.token,
             worker=self.worker_id,
             address=self._address,
-            **order.values,
+            **command.values,
         )
         return done.addCallbacks(
-            self._answered, self._unanswered, callbackArgs=(order, name), errbackArgs=(order,)
+            self._answered, self._unanswered, callbackArgs=(command, name), errbackArgs=(command,)
         )
 
-    def _answered(self, answer, order, name):
+    def _answered(self, answer, command, name):
         match answer.outcome:
-            case OrderOutcome.DONE:
-                return order.convert(answer)
-            case OrderOutcome.NOT_SENT:
-                self._carriers.not_sent(name, answer.reason)
-                return self._send(order)
-            case OrderOutcome.UNANSWERED if order.verb is Verb.HOLD:
-                self._count(order, _DIRECT)
+            case CommandOutcome.DONE:
+                return command.convert(answer)
+            case CommandOutcome.NOT_SENT:
+                self._relay_dispatcher.not_sent(name, answer.reason)
+                return self._send(command)
+            case CommandOutcome.UNANSWERED if command.verb is Verb.HOLD:
+                self._count(command, _DIRECT)
                 # The worker has held its answer back already, if it was reached.
-                return order.direct(0.0).addCallback(self._carrier_was_cut_off, name)
+                return command.direct(0.0).addCallback(self._relay_was_cut_off, name)
             case _:
                 return raise_failed(answer)
 
-    def _carrier_was_cut_off(self, report, name):
-        self._carriers.rest(name, "does not reach a worker")
+    def _relay_was_cut_off(self, report, name):
+        self._relay_dispatcher.rest(name, "does not reach a worker")
         return report
 
-    def _unanswered(self, failure, order):
+    def _unanswered(self, failure, command):
         if failure.check(NotReadyError):
-            return self._send(order)
-        failure.trap(PeerSilentError)
-        if order.verb is Verb.HOLD:
-            order.n_left = 0
-            return self._send(order)
+            return self._send(command)
+        failure.trap(PeerTimeoutError)
+        if command.verb is Verb.HOLD:
+            command.n_left = 0
+            return self._send(command)
         raise WorkerUnreachableError(f"no answer of a carrier: {failure.value}") from failure.value
 
-    def _count(self, order, route):
-        self._context.meters.count("routes", order.verb.name, route)
+    def _count(self, command, route):
+        self._context.meters.count("routes", command.verb.name, route)
 
 
 def _nothing_of_answer(_):
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -3,11 +3,11 @@
 import pytest
 from twisted.internet.defer import inlineCallbacks, succeed
 
-from anvilflow.cell import _entry, _fleet, _job_intake, _leadership
+from anvilflow.cell import _fleet, _gateway, _job_intake, _leadership
 from anvilflow.cell._context import Claimed
 from anvilflow.cell._session import START_TIMEOUTS_S, WorkerSession
 from anvilflow.exceptions import WorkerRefusedError, WorkerUnreachableError
-from anvilflow.jobs import Scheduler, StartRun, _run_book
+from anvilflow.jobs import Scheduler, StartRun, _run_tracker
 
 from ._helpers import CANCEL_S, JOB, STEP, cancel, find_runs_after_cancelling, make_cell
 
@@ -36,7 +36,7 @@
 _stop = Scheduler._stop
 
 
-def _without_strays(self, worker, item, known, now):
+def _without_orphan_runs(self, worker, item, known, now):
     return []
 
 
@@ -46,7 +46,7 @@
         yield self.calls.stop(action)
     except (WorkerRefusedError, WorkerUnreachableError):
         return
-    self.home.stop_answered(action)
+    self.fleet.stop_answered(action)
 
 
 # The starter lives
@@ -62,7 +62,7 @@
 
     The run is stopped although nobody knows that it begins, and the stop is sent again until the
     worker has taken it: then the worker refuses the start, or ends what began before the stop came.
-    Were only runs stopped that have begun, the task would run on: its home takes it for its own.
+    Were only runs stopped that have begun, the task would run on: its leader takes it for its own.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_stop", _stop_begun)
@@ -146,11 +146,11 @@
 def test_tasks_on_a_worker_that_left_the_registry_are_stopped(monkeypatch, safeguard):
     """A worker's entry is gone while its task runs on; then the job is cancelled.
 
-    The home goes on holding the worker, and its stop reaches it. Given up with its entry, the task
-    would run until its lease lapses.
+    The leader goes on holding the worker, and its stop reaches it. Given up with its entry, the
+    task would run until its lease lapses.
     """
     if not safeguard:
-        monkeypatch.setattr(_fleet.Fleet, "entry_gone", _fleet.Fleet.worker_gone)
+        monkeypatch.setattr(_fleet.Fleet, "registry_entry_removed", _fleet.Fleet.worker_gone)
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
     cell.advance(1.0)
@@ -166,22 +166,22 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_home_is_stopped_by_the_next(monkeypatch, safeguard):
-    """A worker leaves a start unanswered; the job is cancelled and its home is removed for good.
+def test_late_start_of_a_removed_leader_is_stopped_by_the_next(monkeypatch, safeguard):
+    """A worker leaves a start unanswered; the job is cancelled and its leader is removed for good.
 
-    The worker, which the next home does not reach yet, carries the start out. No record tells of
-    it: the next home finds the run among what the worker lists, and stops it. Left alone it would
-    run on under the leases of the next home.
+    The worker, which the next leader does not reach yet, carries the start out. No record tells of
+    it: the next leader finds the run among what the worker lists, and stops it. Left alone it would
+    run on under the leases of the next leader.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     _late_starts(cell, 1.5)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
     cell.advance(0.05)
     _late_stops(cell, 2)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     for faults in cell.worker_faults.values():
         faults.silent = True
     cell.advance(1.6)
@@ -193,11 +193,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_home(monkeypatch, safeguard):
-    """A cancelling is durable, its stops go astray, and two homes in a row are removed.
+def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_leader(monkeypatch, safeguard):
+    """A cancelling is durable, its stops go astray, and two leaders in a row are removed.
 
-    Each next home lists the job as ended and stops its tasks at the first report. Taken for those
-    of a job that may yet be heard of, they wait 1.5 s at each home, and the third one comes late:
+    Each next leader lists the job as ended and stops its tasks at the first report. Taken for those
+    of a job that may yet be heard of, they wait 1.5 s at each leader, and the third one comes late:
     they ran for 4.0 s after the cancelling, 0.6 s too long.
     """
     if not safeguard:
@@ -209,20 +209,20 @@
     cell.advance(1.0)
     _late_stops(cell, 100)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(1.8)
     for worker in cell.workers.values():
         worker.n_late_stops = 0
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(6.0)
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_an_entry_accepts_without_a_home_is_carried_out(monkeypatch, safeguard):
-    """The home is removed; a client cancels before there is another, and hears 200.
+def test_cancelling_that_a_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
+    """The leader is removed; a client cancels before there is another, and hears 200.
 
-    The mark in the store is read by the next home when it begins. Not read, the job would go on.
+    The mark in the store is read by the next leader when it begins. Not read, the job would go on.
     """
     if not safeguard:
         monkeypatch.setattr(_job_intake.JobIntake, "take", lambda self, row: [])
@@ -230,33 +230,33 @@
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
     name = cell.other()
-    _replace_home(cell)
+    _replace_leader(cell)
     acked_at = cancel(cell, name)
     cell.advance(6.0)
-    assert cell.home() in cell.homes()
+    assert cell.leader() in cell.leaders()
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_was_lost_with_its_home_is_marked_by_the_entry(monkeypatch, safeguard):
-    """A slow store has not taken the cancelling yet when the home that wrote it is removed.
+def test_cancelling_that_was_lost_with_its_leader_is_marked_by_the_gateway(monkeypatch, safeguard):
+    """A slow store has not taken the cancelling yet when the leader that wrote it is removed.
 
     The entry that asked for it writes a mark before it answers. The 2xx of one that did not would
-    be for nothing: the next home knows of no cancelling.
+    be for nothing: the next leader knows of no cancelling.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "cancel_stored_job", lambda store, job_id: succeed(True))
+        monkeypatch.setattr(_gateway, "cancel_stored_job", lambda store, job_id: succeed(True))
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
-    former, name = cell.home(), cell.other()
+    former, name = cell.leader(), cell.other()
     cell.store_faults.late_s = 20.0
     cell.store_faults.only = {former}
     _late_stops(cell, 1)
     answers = cell.call(name, "DELETE", f"/urgent/{JOB}")
     cell.advance(0.1)
     assert not answers
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(1.0)
     assert answers[0][0] == 200
     acked_at = cell.clock.seconds()
@@ -265,14 +265,14 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_a_dark_worker_is_stopped_by_the_next_home(monkeypatch, safeguard):
-    """A worker goes dark, its task's job is cancelled, and the home is removed; then it answers.
+def test_task_on_a_dark_worker_is_stopped_by_the_next_leader(monkeypatch, safeguard):
+    """A worker goes dark, its task's job is cancelled, and the leader is removed; then it answers.
 
-    The former home's row names the task, which is not taken on: its job has ended. Listed by the
-    worker it is stopped. Left alone it would run on under the next home's leases.
+    The former leader's row names the task, which is not taken on: its job has ended. Listed by the
+    worker it is stopped. Left alone it would run on under the next leader's leases.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
     cell.advance(1.0)
@@ -281,7 +281,7 @@
     cell.advance(0.7)
     acked_at = cancel(cell, cell.other())
     cell.advance(0.2)
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(0.8)
     faults.clear()
     cell.advance(6.0)
@@ -291,13 +291,13 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_late_start_on_a_worker_that_was_given_up_is_stopped(monkeypatch, safeguard):
-    """A worker leaves a start unanswered, goes dark and loses its entry; its home gives it up.
+    """A worker leaves a start unanswered, goes dark and loses its entry; its leader gives it up.
 
     With the session the stops end that should have barred the run. The worker registers again and
     carries the start out; the new session hears of it as of a run that has no place, and stops it.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=1)
     worker = cell.workers["i-0"]
     worker.trusts_lease = True
@@ -308,7 +308,7 @@
     acked_at = cancel(cell, cell.other())
     cell.store.remove("servers", "i-0")
     cell.advance(5.0)
-    assert not cell.daemons[cell.home()].supervisor.part("home")._fleet._sessions
+    assert not cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions
     cell.worker_faults["i-0"].clear()
     cell.store.put("servers", "i-0", worker.entry())
     cell.advance(10.0)
@@ -317,10 +317,10 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_home_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
-    """A start takes effect after the next home has held the worker: its token is too low by then.
+def test_late_start_of_a_removed_leader_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
+    """A start takes effect after the next leader has held the worker: its token is too low by then.
 
-    Were the tokens of both homes alike, the task of a cancelled job would begin.
+    Were the tokens of both leaders alike, the task of a cancelled job would begin.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
@@ -330,7 +330,7 @@
     cell.advance(0.05)
     _late_stops(cell, 1)
     acked_at = cancel(cell, cell.other())
-    _replace_home(cell)
+    _replace_leader(cell)
     cell.advance(9.0)
     assert (cell.spans == []) is safeguard
     assert find_runs_after_cancelling(cell, acked_at) == []
@@ -344,13 +344,13 @@
 def test_task_of_a_job_that_nobody_remembers_is_stopped(monkeypatch, safeguard):
     """A worker carries a start out whose job is long over: its rows are gone from the store.
 
-    The home waits whether it hears of the job, and stops the run. Waiting for ever, it would renew
-    its lease with all others on the worker.
+    The leader waits whether it hears of the job, and stops the run. Waiting for ever, it would
+    renew its lease with all others on the worker.
     """
     if not safeguard:
-        monkeypatch.setattr(_run_book, "UNKNOWN_JOB_S", float("inf"))
+        monkeypatch.setattr(_run_tracker, "UNKNOWN_JOB_S", float("inf"))
     cell = make_cell(n_instances=3, n_workers=2)
-    fleet = cell.daemons[cell.home()].supervisor.part("home")._fleet
+    fleet = cell.daemons[cell.leader()].supervisor.part("home")._fleet
     start = StartRun(
         worker_id="i-0", task=f"{JOB}.0.0.0", run_id=1, payload=LASTING, checkpoint="", ticket=""
     )
@@ -367,18 +367,18 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
+def test_leader_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
     monkeypatch, safeguard
 ):
-    """A home is paused while its stops are under way, and wakes when there is another one.
+    """A leader is paused while its stops are under way, and wakes when there is another one.
 
-    Its own stops carry a token that the workers refuse by then. The next home stops what is left,
+    Its own stops carry a token that the workers refuse by then. The next leader stops what is left,
     which it finds listed.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt", _without_strays)
+        monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
     _late_stops(cell, 4)
@@ -387,11 +387,11 @@
     cell.advance(3.0)
     cell.resume(former)
     cell.advance(3.0)
-    assert cell.homes() == [cell.home()] != [former]
+    assert cell.leaders() == [cell.leader()] != [former]
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
-def _replace_home(cell):
-    """Remove the home for good, and start an instance that was not there before."""
-    cell.kill(cell.home())
+def _replace_leader(cell):
+    """Remove the leader for good, and start an instance that was not there before."""
+    cell.kill(cell.leader())
     cell.start_instance(f"b{len(cell.clocks)}")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -1,15 +1,15 @@
-"""Orders of a home that is short of link or processor, made by other instances."""
+"""Orders of a leader that is short of link or processor, made by other instances."""
 
 import pytest
 
-from anvilflow.cell._carriers import BUSY_SHARE, Carriers
-from anvilflow.cell._link_use import LinkUse
-from anvilflow.cell._payloads import Payloads
-from anvilflow.cell._routed_calls import RoutedCalls
-from anvilflow.cell._strength import HOME_LINK_MBPS
+from anvilflow.cell._leader_eligibility import MIN_LEADER_LINK_MBPS
+from anvilflow.cell._link_utilization import LinkUtilization
+from anvilflow.cell._payload_cache import PayloadCache
+from anvilflow.cell._relay_dispatcher import BUSY_SHARE, RelayDispatcher
 from anvilflow.cell._tables import job_part
-from anvilflow.cell._worker_orders import (
-    OrderOutcome,
+from anvilflow.cell._worker_call_router import WorkerCallRouter
+from anvilflow.cell._worker_commands import (
+    CommandOutcome,
     Verb,
     find_flaw,
     raise_failed,
@@ -41,13 +41,13 @@
     return sum(n for (caller, to), n in cell.wire.calls.items() if caller == name and to[0] == "w")
 
 
-def _entry_with_payload(cell, step=STEP, **values):
-    """Submit a job at an instance that is not the home, and return the instance."""
-    entry = cell.other()
-    answers = cell.submit(entry, JOB, step, **values)
+def _gateway_with_payload(cell, step=STEP, **values):
+    """Submit a job at an instance that is not the leader, and return the instance."""
+    gateway = cell.other()
+    answers = cell.submit(gateway, JOB, step, **values)
     cell.advance(0.03)
     assert answers[0][0] == 200
-    return entry
+    return gateway
 
 
 def _done(cell):
@@ -59,47 +59,49 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_home_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
+def test_leader_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
     """Its link and its processor bound the starts of the whole cell."""
     if not safeguard:
-        monkeypatch.setattr(Carriers, "are_used", False)
+        monkeypatch.setattr(RelayDispatcher, "are_used", False)
     cell = _make_cell()
-    before = _n_calls_to_workers(cell, cell.home())
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    before = _n_calls_to_workers(cell, cell.leader())
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
-    assert (_n_calls_to_workers(cell, cell.home()) == before) is safeguard
+    assert (_n_calls_to_workers(cell, cell.leader()) == before) is safeguard
 
 
-def test_home_with_room_sends_its_starts_and_jobs_have_one_row():
+def test_leader_with_room_sends_its_starts_and_jobs_have_one_row():
     """What is cheaper where nothing is short stays as it is."""
     cell = make_cell(n_instances=5, n_workers=6)
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
     assert _done(cell) == _names()
-    assert not any(_n_calls_to_workers(cell, name) for name in cell.daemons if name != cell.home())
+    assert not any(
+        _n_calls_to_workers(cell, name) for name in cell.daemons if name != cell.leader()
+    )
     assert cell.store.value("jobs", JOB, part=job_part(JOB))["spec"]["payload"]
     assert cell.store.value("payloads", JOB, part=job_part(JOB)) is None
 
 
 @pytest.mark.parametrize("bytes_per_s", [250_000, 1_000_000])
-def test_link_that_is_in_use_has_orders_carried(bytes_per_s):
-    """A home on a wide link, too, once the share in use says that a burst would fill it."""
+def test_link_that_is_in_use_has_commands_carried(bytes_per_s):
+    """A leader on a wide link, too, once the share in use says that a burst would fill it."""
     cell = make_cell(n_instances=5, n_workers=6)
-    context = cell.daemons[cell.home()].context
-    context.settings.link_mbps = HOME_LINK_MBPS
-    context.link_use = LinkUse(
+    context = cell.daemons[cell.leader()].context
+    context.settings.link_mbps = MIN_LEADER_LINK_MBPS
+    context.link_utilization = LinkUtilization(
         settings=lambda: context.settings, count=lambda: (0, bytes_per_s * cell.clock.seconds())
     )
     cell.advance(3.0)
-    is_busy = bytes_per_s >= BUSY_SHARE * HOME_LINK_MBPS * BYTES_PER_MBIT
-    assert context.is_carried is is_busy
+    is_busy = bytes_per_s >= BUSY_SHARE * MIN_LEADER_LINK_MBPS * BYTES_PER_MBIT
+    assert context.uses_relays is is_busy
 
 
 def test_row_of_a_job_leaves_out_its_payload_and_both_end_together():
-    """A new home reads the rows of all jobs; payloads are most of their size."""
+    """A new leader reads the rows of all jobs; payloads are most of their size."""
     cell = _make_cell()
-    _entry_with_payload(cell, spec="0.5 done 1000")
+    _gateway_with_payload(cell, spec="0.5 done 1000")
     part = job_part(JOB)
     assert "payload" not in cell.store.value("jobs", JOB, part=part)["spec"]
     assert cell.store.value("payloads", JOB, part=part) == "0.5 done 1000"
@@ -110,78 +112,78 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "pause", "cut from", "cut to", "restart"])
-def test_carrier_is_lost_between_its_order_and_the_start(fault):
+def test_relay_is_lost_between_its_command_and_the_start(fault):
     """Starts that it was told of are not lost, and none runs twice."""
     cell = _make_cell(n_workers=3)
-    entry = _entry_with_payload(cell, STEP, spec="0.6 done 1000")
-    home = cell.home()
+    gateway = _gateway_with_payload(cell, STEP, spec="0.6 done 1000")
+    leader = cell.leader()
     match fault:
         case "kill":
-            cell.kill(entry)
+            cell.kill(gateway)
         case "pause":
-            cell.pause(entry)
-            cell.clock.callLater(2.0, cell.resume, entry)
+            cell.pause(gateway)
+            cell.clock.callLater(2.0, cell.resume, gateway)
         case "cut from":
-            cell.network.silence(entry, home)
+            cell.network.silence(gateway, leader)
         case "cut to":
-            cell.network.silence(home, entry)
+            cell.network.silence(leader, gateway)
         case "restart":
-            cell.kill(entry)
-            cell.start_instance(entry)
+            cell.kill(gateway)
+            cell.start_instance(gateway)
     cell.advance(8.0)
     assert _done(cell) == _names()
     assert cell.check() == []
 
 
-def test_steps_of_a_job_whose_entry_is_gone_start_from_the_payload_in_the_store():
-    """Another instance reads it: the job's row does not hold it, nor does the home."""
+def test_steps_of_a_job_whose_gateway_is_gone_start_from_the_payload_in_the_store():
+    """Another instance reads it: the job's row does not hold it, nor does the leader."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, SECOND, spec="0.5 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.3)
-    cell.kill(entry)
+    cell.kill(gateway)
     cell.advance(3.0)
     assert _done(cell) == _names(2)
 
 
-def test_home_and_carrier_are_lost_together():
-    """The next home knows neither the payload nor what was told to the carrier."""
+def test_leader_and_relay_are_lost_together():
+    """The next leader knows neither the payload nor what was told to the relay."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, SECOND, spec="0.5 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.04)
-    home = cell.home()
-    cell.kill(entry)
-    cell.kill(home)
+    leader = cell.leader()
+    cell.kill(gateway)
+    cell.kill(leader)
     cell.advance(9.0)
     assert _done(cell) == _names(2)
     assert cell.check() == []
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_order_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
-    """A carrier that was paused finds orders that the home has long given up."""
+def test_command_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
+    """A relay that was paused finds orders that the leader has long given up."""
     if not safeguard:
         monkeypatch.setattr(MessageAge, "note", lambda self, sent_at, received_at: 0.0)
     cell = _make_cell(n_workers=1)
-    carrier = cell.other()
-    cell.pause(carrier)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
-    link = cell.daemons[cell.home()].context.links.peers[carrier]
-    link.send(_order(cell, sent_ms=round(1000 * cell.clock.seconds())))
+    relay = cell.other()
+    cell.pause(relay)
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000}, spec="0.3 done 1000")
+    link = cell.daemons[cell.leader()].context.links.peers[relay]
+    link.send(_command(cell, sent_ms=round(1000 * cell.clock.seconds())))
     cell.advance(1.0)
-    cell.resume(carrier)
+    cell.resume(relay)
     cell.advance(0.1)
     assert cell.runs_of(f"{JOB}.9.9.9") is not safeguard
 
 
-def _order(cell, **values):
-    home = cell.daemons[cell.home()]
+def _command(cell, **values):
+    leader = cell.daemons[cell.leader()]
     worker = cell.workers["i-0"]
     fields = {
         "call": 10_000_000,
         "verb": Verb.START,
-        "token": home.supervisor.part("home")._claimed.token,
+        "token": leader.supervisor.part("home")._claimed.token,
         "worker": "i-0",
         "address": worker.address,
         "limit_ms": 400,
@@ -194,42 +196,42 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_order_of_a_former_home_is_not_carried_out(monkeypatch, safeguard):
-    """Workers that the next home has not reached yet would take it."""
+def test_command_of_a_former_leader_is_not_carried_out(monkeypatch, safeguard):
+    """Workers that the next leader has not reached yet would take it."""
     cell = _make_cell()
-    carrier = cell.other()
-    _entry_with_payload(cell, spec="0.3 done 1000")
+    relay = cell.other()
+    _gateway_with_payload(cell, spec="0.3 done 1000")
     cell.advance(1.0)
-    context = cell.daemons[carrier].context
+    context = cell.daemons[relay].context
     if not safeguard:
-        context.carrier._token = 0
+        context.relay._token = 0
         monkeypatch.setattr(cell.workers["i-0"], "token", 0)
-    order = _order(cell, token=1)
-    context.carrier.serve(context.links.home_link, order)
+    command = _command(cell, token=1)
+    context.relay.serve(context.links.leader_link, command)
     cell.advance(0.1)
-    assert (not cell.runs_of(order.task)) is safeguard
+    assert (not cell.runs_of(command.task)) is safeguard
 
 
-def test_order_from_an_instance_that_is_not_the_home_is_not_carried_out():
-    """A former home that has not noticed is connected for a while."""
+def test_command_from_an_instance_that_is_not_the_leader_is_not_carried_out():
+    """A former leader that has not noticed is connected for a while."""
     cell = _make_cell()
-    carrier = cell.other()
-    context = cell.daemons[carrier].context
+    relay = cell.other()
+    context = cell.daemons[relay].context
     context.payloads.keep(JOB, "0.3 done 1000")
-    other = cell.daemons[cell.home()].context.links.peers[carrier]
-    context.carrier.serve(other, _order(cell))
+    other = cell.daemons[cell.leader()].context.links.peers[relay]
+    context.relay.serve(other, _command(cell))
     cell.advance(0.1)
     assert not cell.runs_of(f"{JOB}.9.9.9")
 
 
 @pytest.mark.parametrize("values", [{"verb": 99}, {"task": None}, {"address": None}])
-def test_malformed_order_is_dropped_and_counted(values):
+def test_malformed_command_is_dropped_and_counted(values):
     """A message that cannot be carried out must not end the part that takes it."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
-    order = _order(cell, **values)
-    assert find_flaw(order)
-    context.carrier.serve(context.links.home_link, order)
+    command = _command(cell, **values)
+    assert find_flaw(command)
+    context.relay.serve(context.links.leader_link, command)
     assert context.meters.counts["malformed_messages", ()] == 1
 
 
@@ -237,27 +239,27 @@
     "values", [{}, {"clock_ms": 5, "active": [ActiveRun(run_id=1)]}, {"outcome": 77}]
 )
 def test_answer_that_is_not_whole_counts_as_none(values):
-    """A carrier's fault must not end the home's part; the worker may have acted."""
+    """A relay's fault must not end the leader's part; the worker may have acted."""
     with pytest.raises(WorkerUnreachableError):
-        report_of_answer(raise_failed(WorkerAnswer(**{"outcome": OrderOutcome.DONE, **values})))
+        report_of_answer(raise_failed(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values})))
 
 
 def test_start_told_twice_begins_once():
-    """The home repeats a start whose outcome was lost, over the same carrier or another."""
+    """The leader repeats a start whose outcome was lost, over the same relay or another."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
     for _ in range(2):
-        context.carrier.serve(context.links.home_link, _order(cell))
+        context.relay.serve(context.links.leader_link, _command(cell))
     cell.advance(0.1)
     assert len(cell.runs_of(f"{JOB}.9.9.9")) == 1
 
 
 def test_outcomes_that_are_lost_cost_neither_tasks_nor_a_second_run():
-    """The carrier acts and its answers do not reach the home."""
+    """The relay acts and its answers do not reach the leader."""
     cell = _make_cell(n_workers=3)
-    entry = _entry_with_payload(cell, spec="0.6 done 1000")
-    cell.network.silence(entry, cell.home())
+    gateway = _gateway_with_payload(cell, spec="0.6 done 1000")
+    cell.network.silence(gateway, cell.leader())
     cell.advance(9.0)
     assert _done(cell) == _names()
     assert cell.check() == []
@@ -270,17 +272,17 @@
     cell.advance(0.3)
     cell.store.remove("payloads", JOB, part=job_part(JOB))
     for daemon in cell.daemons.values():
-        daemon.context.payloads = Payloads(context=daemon.context)
+        daemon.context.payloads = PayloadCache(context=daemon.context)
     other = f"{7:016x}"
     cell.submit(cell.other(), other, STEP, spec="0.3 done 1000")
     cell.advance(4.0)
     assert {span.task for span in cell.spans if span.task.startswith(JOB)} == _names()
     assert {f"{other}.0.0.{index}" for index in range(4)} <= _done(cell)
-    home = cell.daemons[cell.home()].supervisor.part("home")
-    assert home.dump()["jobs_without_payload"] == [JOB]
+    leader = cell.daemons[cell.leader()].supervisor.part("home")
+    assert leader.dump()["jobs_without_payload"] == [JOB]
 
 
-def test_store_that_is_silent_does_not_stop_carriers_that_have_the_payload():
+def test_store_that_is_silent_does_not_stop_relays_that_have_the_payload():
     """Steps that follow begin in an outage of the store, too."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -290,31 +292,31 @@
     assert _names(2) <= {span.task for span in cell.spans}
 
 
-def _believe_carrier(self, answer, order, name):
-    return order.convert(raise_failed(answer))
+def _believe_relay(self, answer, command, name):
+    return command.convert(raise_failed(answer))
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_carrier_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
+def test_relay_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
     """Its share of the workers would get no work, and what runs there would be started again."""
     if not safeguard:
-        monkeypatch.setattr(RoutedCalls, "_answered", _believe_carrier)
+        monkeypatch.setattr(WorkerCallRouter, "_answered", _believe_relay)
     cell = _make_cell(n_workers=8)
     for number in range(12):
-        cell.submit(cell.home(), f"{number:016x}", STEP, spec="6.0 done 1000")
+        cell.submit(cell.leader(), f"{number:016x}", STEP, spec="6.0 done 1000")
     cell.advance(1.0)
     for faults in cell.worker_faults.values():
         faults.silent = True
         faults.only = {cell.other()}
     cell.advance(9.0)
-    home = cell.daemons[cell.home()].supervisor.part("home")._scheduler
-    is_well = not any(worker.silent for worker in home.workers.values())
+    leader = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
+    is_well = not any(worker.unreachable for worker in leader.workers.values())
     is_well = is_well and not [span for span in cell.spans if span.how in ("lapsed", "stopped")]
     assert is_well is safeguard
 
 
 def test_gang_of_which_one_member_is_not_started_is_stopped_as_a_whole():
-    """Its members are sent by the carrier one by one; the others would wait and end alone."""
+    """Its members are sent by the relay one by one; the others would wait and end alone."""
     cell = _make_cell(n_workers=4)
     cell.workers["i-2"].n_late_starts = 4
     gang = {"count": 4, "cpu": 9000, "gang": True, "estimate-ms": 500}
@@ -326,48 +328,48 @@
 
 
 def test_job_that_is_cancelled_while_its_starts_are_on_their_way():
-    """A start that a carrier was told of may come after the stop."""
+    """A start that a relay was told of may come after the stop."""
     cell = _make_cell()
-    entry = cell.other()
-    cell.submit(entry, JOB, STEP, spec="30.0 done 1000")
+    gateway = cell.other()
+    cell.submit(gateway, JOB, STEP, spec="30.0 done 1000")
     cell.advance(0.015)
-    acked_at = cancel(cell, entry)
+    acked_at = cancel(cell, gateway)
     cell.advance(6.0)
     assert find_runs_after_cancelling(cell, acked_at) == []
 
 
-def test_instance_of_an_earlier_release_gets_whole_rows_and_no_orders(monkeypatch):
-    """In a rolling restart the home may not know rows without a payload."""
+def test_instance_of_an_earlier_release_gets_whole_rows_and_no_commands(monkeypatch):
+    """In a rolling restart the leader may not know rows without a payload."""
     cell = _make_cell()
     for daemon in cell.daemons.values():
-        monkeypatch.setattr(daemon.context, "is_carried", False)
+        monkeypatch.setattr(daemon.context, "uses_relays", False)
     cell.submit(cell.other(), JOB, STEP, spec="0.5 done 1000")
-    assert cell.daemons[cell.other()].context.is_carried is False
+    assert cell.daemons[cell.other()].context.uses_relays is False
     cell.advance(2.0)
     assert cell.store.value("jobs", JOB, part=job_part(JOB))["spec"]["payload"]
     assert _done(cell) == _names()
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_drawn_days_with_carriers(monkeypatch, seed):
-    """Cancelled jobs, orders that go astray, homes and workers that are lost, as without them."""
-    monkeypatch.setattr(Carriers, "are_used", True)
+def test_drawn_days_with_relays(monkeypatch, seed):
+    """Cancelled jobs, orders that go astray, leaders and workers that are lost, as without them."""
+    monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert DrawnDay(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_drawn_crashes_with_carriers(monkeypatch, seed):
+def test_drawn_crashes_with_relays(monkeypatch, seed):
     """Tasks that crash workers are counted as without them."""
-    monkeypatch.setattr(Carriers, "are_used", True)
+    monkeypatch.setattr(RelayDispatcher, "are_used", True)
     assert CrashScenario(seed=seed).play() == []
 
 
-def test_orders_of_all_kinds_are_counted_by_route_and_outcome():
-    """An operator tells by them whether the home, a carrier or a worker binds."""
+def test_commands_of_all_kinds_are_counted_by_route_and_outcome():
+    """An operator tells by them whether the leader, a relay or a worker binds."""
     cell = _make_cell()
-    entry = _entry_with_payload(cell, spec="0.5 done 1000")
+    gateway = _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
-    routes = cell.daemons[cell.home()].context.meters.counts
+    routes = cell.daemons[cell.leader()].context.meters.counts
     assert routes["routes", ("START", "carried")] == 4
-    carried = cell.daemons[entry].context.meters.counts
-    assert carried["carried", (Verb.START.name, OrderOutcome.DONE.name)] == 4
+    carried = cell.daemons[gateway].context.meters.counts
+    assert carried["carried", (Verb.START.name, CommandOutcome.DONE.name)] == 4
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -1,14 +1,14 @@
-"""A home whose link is full."""
+"""A leader whose link is full."""
 
 import pytest
 from msgspec import Struct
 
-from anvilflow.cell._home import DEFERRED_S
-from anvilflow.cell._start_waits import MAX_AGE_S, StartWaits
+from anvilflow.cell._leader import DEFERRED_S
+from anvilflow.cell._start_delays import MAX_AGE_S, StartDelays
 
 from ._helpers import JOB, make_cell
 
-#: Link of the home: 2 Mbit/s. Unit: bytes a second.
+#: Link of the leader: 2 Mbit/s. Unit: bytes a second.
 NARROW = 250_000
 
 #: Size of a job's payload, which each start carries. Unit: bytes.
@@ -45,13 +45,13 @@
 
 def _submit_for(cell, seconds, rate, submitted):
     """Submit jobs at a rate; note them by their ids."""
-    entries = [name for name in cell.daemons if name != cell.home()]
+    gateways = [name for name in cell.daemons if name != cell.leader()]
     step = {"count": N_TASKS, "cpu": 500, "estimate-ms": 800}
     for _ in range(round(seconds * rate)):
         number = len(submitted)
         job_id = f"{number:016x}"
-        entry = entries[number % len(entries)]
-        answers = cell.submit(entry, job_id, step, spec="x" * N_PAYLOAD)
+        gateway = gateways[number % len(gateways)]
+        answers = cell.submit(gateway, job_id, step, spec="x" * N_PAYLOAD)
         submitted[job_id] = _Submitted(at=cell.clock.seconds(), answers=answers)
         cell.advance(1 / rate)
 
@@ -99,7 +99,7 @@
 def test_jobs_that_would_begin_too_late_are_refused_at_once(monkeypatch, safeguard):
     """Accepted, they are done too late themselves and make all that come after them late."""
     if not safeguard:
-        monkeypatch.setattr(StartWaits, "wait_s", lambda self, priority: 0.0)
+        monkeypatch.setattr(StartDelays, "wait_s", lambda self, priority: 0.0)
     cell, submitted, _ = _play_burst(1, burst_s=2 * BURST_S)
     refused = [each.answers[0] for each in submitted.values() if not each.is_accepted]
     assert bool(refused) is safeguard
@@ -115,10 +115,10 @@
     step = {"count": 1, "cpu": 500, "estimate-ms": 100}
     cell.submit(cell.other(), JOB, step, spec="0.1 done 500")
     cell.advance(0.5)
-    daemon = cell.daemons[cell.home()]
+    daemon = cell.daemons[cell.leader()]
     daemon.context.start_waits.told({0: 60.0})
-    again = cell.submit(cell.home(), JOB, step, spec="0.1 done 500")
-    new = cell.submit(cell.home(), f"{1:016x}", step, spec="0.1 done 500")
+    again = cell.submit(cell.leader(), JOB, step, spec="0.1 done 500")
+    new = cell.submit(cell.leader(), f"{1:016x}", step, spec="0.1 done 500")
     cell.advance(0.1)
     assert again[0][0] == 200
     assert new[0][0] == 503
--- a/anvilflow/cell/tests/test_crashing_tasks.py
+++ b/anvilflow/cell/tests/test_crashing_tasks.py
@@ -81,8 +81,8 @@
 
 
 @pytest.mark.parametrize("kill_delay_s", [0.05, 1.0])
-def test_crashes_are_counted_across_homes(kill_delay_s):
-    """Guards against losing the crash count when the home fails after each crash."""
+def test_crashes_are_counted_across_leaders(kill_delay_s):
+    """Guards against losing the crash count when the leader fails after each crash."""
     cell = _make_cell(n_instances=5)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=CRASH)
     kill_at = None
@@ -95,9 +95,9 @@
             kill_at = now + kill_delay_s
         if kill_at is not None and now >= kill_at:
             kill_at = None
-            home = cell.home()
-            cell.kill(home)
-            cell.clock.callLater(1.0, cell.start_instance, home)
+            leader = cell.leader()
+            cell.kill(leader)
+            cell.clock.callLater(1.0, cell.start_instance, leader)
     cell.advance(3.0)
     assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER
     assert cell.state(next(iter(cell.daemons)), JOB) == "failed"
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash workers and capacity changes, under random faults of homes and workers."""
+"""Tasks that crash workers and capacity changes, under random faults of leaders and workers."""
 
 from collections import Counter
 from random import Random
@@ -51,7 +51,7 @@
         for job_id in self.jobs:
             yield draw(0.0, 6.0), self._submit, job_id
         for _ in range(2):
-            yield draw(0.0, FAULTS_S), self._remove_home, None
+            yield draw(0.0, FAULTS_S), self._remove_leader, None
         for _ in range(3):
             yield draw(0.0, FAULTS_S), self._set_capacity, self._draw_address()
         at, address = draw(0.0, FAULTS_S), self._draw_address()
@@ -127,11 +127,11 @@
         alive = [worker for worker in self.cell.workers.values() if worker.alive]
         return next((worker for worker in alive if worker.address == address), None)
 
-    def _remove_home(self, _):
-        home = self.cell.home()
-        if home in self.cell.daemons:
-            self.cell.kill(home)
-            self.cell.clock.callLater(1.0, self.cell.start_instance, home)
+    def _remove_leader(self, _):
+        leader = self.cell.leader()
+        if leader in self.cell.daemons:
+            self.cell.kill(leader)
+            self.cell.clock.callLater(1.0, self.cell.start_instance, leader)
 
     def _set_capacity(self, address):
         worker = self._worker_at(address)
@@ -163,5 +163,5 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 12, 29, 91, 188])
 def test_crashing_jobs_fail_and_other_jobs_complete(seed):
-    """Guards against miscounting crashes during home changes, outages and worker silence."""
+    """Guards against miscounting crashes during leader changes, outages and worker silence."""
     assert CrashScenario(seed=seed).play() == []
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -1,4 +1,4 @@
-"""Jobs that are cancelled under drawn faults of orders, homes and workers."""
+"""Jobs that are cancelled under drawn faults of orders, leaders and workers."""
 
 from random import Random
 
@@ -58,7 +58,7 @@
             yield at, self._submit, job_id
             yield at + draw(0.05, 4.0), self._cancel, job_id
         for _ in range(2):
-            yield draw(0.0, FAULTS_S), self._remove_home, None
+            yield draw(0.0, FAULTS_S), self._remove_leader, None
             worker_id = f"i-{self.random_state.randrange(N_WORKERS)}"
             at = draw(0.0, FAULTS_S - 1.0)
             yield at, self._darken, worker_id
@@ -105,9 +105,9 @@
         answers = self.cell.call(self._instance(), "DELETE", f"/urgent/{job_id}")
         self.calls[job_id] = (self.cell.clock.seconds(), answers)
 
-    def _remove_home(self, _):
-        if self.cell.home() in self.cell.daemons:
-            self.cell.kill(self.cell.home())
+    def _remove_leader(self, _):
+        if self.cell.leader() in self.cell.daemons:
+            self.cell.kill(self.cell.leader())
 
     def _darken(self, worker_id):
         self.cell.worker_faults[worker_id].silent = True
@@ -124,7 +124,7 @@
 
 
 class DayWithoutStore(DrawnDay):
-    """The same, with a home that alone loses the store while it goes on ordering."""
+    """The same, with a leader that alone loses the store while it goes on ordering."""
 
     def _draw_events(self):
         yield from super()._draw_events()
@@ -135,13 +135,13 @@
     def _submit(self, job_id):
         # A job that an instance without the store refuses is not there to be cancelled.
         cut_off = self.cell.store_faults.only or ()
-        entry = next(name for name in self.cell.daemons if name not in cut_off)
+        gateway = next(name for name in self.cell.daemons if name not in cut_off)
         step = {"count": self.random_state.choice([1, 6]), "cpu": 1000}
-        self.cell.submit(entry, job_id, step, spec="40.0 done 1000")
+        self.cell.submit(gateway, job_id, step, spec="40.0 done 1000")
 
     def _take_store_away(self, how):
         faults = self.cell.store_faults
-        faults.only = {self.cell.home()}
+        faults.only = {self.cell.leader()}
         faults.status = 503 if how == "refused" else None
         faults.silent = how == "silent"
         faults.refuses = how == "reset"
@@ -151,14 +151,14 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_task_runs_twice_where_the_home_alone_loses_the_store(seed):
-    """A task ran on two workers for 0.29 s, under the home without the store and the next one."""
+def test_no_task_runs_twice_where_the_leader_alone_loses_the_store(seed):
+    """A task ran on two workers for 0.29 s, under the leader without the store and the next one."""
     assert DayWithoutStore(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancelled_jobs_end_and_no_task_runs_twice(seed):
-    """Jobs are cancelled while orders go astray, homes are removed, and workers are dark or hidden.
+    """Jobs are cancelled while orders are lost, leaders are removed, workers are dark or hidden.
 
     A task that runs on, or on two workers at once, is a safeguard that the other tests lack.
     """
@@ -168,9 +168,10 @@
 @pytest.mark.parametrize("seed", [46, 86])
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_drawn_days_on_which_runs_of_ended_jobs_must_not_wait(monkeypatch, safeguard, seed):
-    """Two homes are removed beside cancelled jobs whose stops went astray; tasks run on too long.
+    """Two leaders are removed beside cancelled jobs whose stops went astray; tasks run on too long.
 
-    Each next home took the runs for those of jobs that it might yet hear of, and waited 1.5 s anew.
+    Each next leader took the runs for those of jobs that it might yet hear of, and waited 1.5 s
+    anew.
     """
     if not safeguard:
         monkeypatch.setattr(
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -7,11 +7,11 @@
 from twisted.python.failure import Failure
 
 from anvilflow.cell import (
-    _entry,
     _fleet,
-    _home,
-    _home_calls,
+    _gateway,
     _job_store,
+    _leader,
+    _leader_calls,
     _leadership,
     _recorder,
     _session,
@@ -26,8 +26,8 @@
     return [span.began_at - at for span in cell.spans if span.began_at > at]
 
 
-def test_killed_home_is_replaced_within_half_a_second():
-    """The home is killed under load; another claims, hears the workers and starts what waits.
+def test_killed_leader_is_replaced_within_half_a_second():
+    """The leader is killed under load; another claims, hears the workers and starts what waits.
 
     Its connections close with it, so nobody has to wait for a silence.
     """
@@ -37,7 +37,7 @@
         cell.submit("a0", JOB, {"count": 8, "cpu": 1000}, spec="4.0 done 1000")
         cell.advance(0.5)
         killed_at = cell.clock.seconds()
-        cell.kill(cell.home())
+        cell.kill(cell.leader())
         cell.submit(next(iter(cell.daemons)), "00000000000000a2", STEP)
         cell.advance(8.0)
         delays.append(min(new_starts_after(cell, killed_at)))
@@ -48,43 +48,43 @@
     assert max(delays) < 1.0
 
 
-def test_home_that_falls_silent_is_replaced_before_leases_lapse():
-    """The home's machine loses power: connections stay open and say nothing."""
+def test_leader_that_falls_silent_is_replaced_before_leases_lapse():
+    """The leader's machine loses power: connections stay open and say nothing."""
     cell = make_cell(n_instances=4)
     cell.submit("a1", JOB, STEP, spec="6.0 done 1000")
     cell.advance(0.5)
-    cell.power_off(cell.home())
+    cell.power_off(cell.leader())
     cell.advance(9.0)
     assert {span.how for span in cell.spans} == {"done"}
     assert cell.check() == []
     assert cell.state(cell.other(), JOB) == "completed"
 
 
-def test_paused_home_that_wakes_starts_and_records_nothing():
-    """The home is paused for four seconds; another takes over; then it wakes and goes on.
+def test_paused_leader_that_wakes_starts_and_records_nothing():
+    """The leader is paused for four seconds; another takes over; then it wakes and goes on.
 
     Its row has moved on and the workers have seen a higher token, so it ends at its first write.
     """
     cell = make_cell(n_instances=4, n_workers=2, cpu=4000)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, {"count": 40, "cpu": 1000}, spec="1.3 done 1000")
     cell.advance(0.4)
     cell.pause(former)
     cell.advance(4.0)
     cell.resume(former)
     cell.advance(10.0)
-    assert cell.home() != former
-    assert cell.homes() == [cell.home()]
+    assert cell.leader() != former
+    assert cell.leaders() == [cell.leader()]
     assert cell.check() == []
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_end_is_acknowledged_only_when_it_is_durable(monkeypatch, safeguard):
-    """A task ends while the store is down, and then the home dies.
+    """A task ends while the store is down, and then the leader dies.
 
-    The worker still has the end for the next home. Acknowledged before its record it would be
-    lost with the home, and the task would run a second time.
+    The worker still has the end for the next leader. Acknowledged before its record it would be
+    lost with the leader, and the task would run a second time.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "acknowledged", lambda self, worker: worker.last_ended)
@@ -94,7 +94,7 @@
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.advance(1.2)
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(0.5)
     cell.store_faults.clear()
     cell.advance(8.0)
@@ -118,20 +118,20 @@
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.advance(1.0)
-    shown = cell.state(cell.home(), JOB)
+    shown = cell.state(cell.leader(), JOB)
     assert shown == ("running" if safeguard else "completed")
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_refused_job_never_runs(monkeypatch, safeguard):
-    """The store takes a job and its answer is lost, at the entry and again at the home.
+    """The store takes a job and its answer is lost, at the entry and again at the leader.
 
     The entry may not say "not accepted": it answers that it does not know. If it took no answer
     for a refusal, the task would start although its client was told that it never would.
     """
     cell = make_cell(n_instances=3)
     if not safeguard:
-        monkeypatch.setattr(_entry, "UnknownOutcomeError", _entry.RequestError)
+        monkeypatch.setattr(_gateway, "UnknownOutcomeError", _gateway.RequestError)
     cell.store_faults.late_s = 2.0
     answers = cell.submit(cell.other(), JOB, STEP)
     cell.advance(2.5)
@@ -165,49 +165,49 @@
     cell.store_faults.silent = True
     cell.advance(6.0)
     assert [span.how for span in cell.spans] == ["done"] * 8
-    assert cell.state(cell.home(), JOB) == "running"
+    assert cell.state(cell.leader(), JOB) == "running"
     cell.store_faults.clear()
     cell.advance(3.0)
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
-def test_late_writes_of_a_former_home_do_nothing():
-    """Each write of the home is carried out seconds later, when another home has gone on.
+def test_late_writes_of_a_former_leader_do_nothing():
+    """Each write of the leader is carried out seconds later, when another leader has gone on.
 
     The row has moved on by then, so that an old record never replaces a newer one.
     """
     cell = make_cell(n_instances=4)
     cell.submit(cell.other(), JOB, STEP, {**STEP, "after": [0]}, spec="1.0 done 1000")
     cell.advance(0.5)
-    former = cell.home()
+    former = cell.leader()
     cell.store_faults.late_s = 3.0
     cell.store_faults.only = {former}
     cell.advance(1.5)
     cell.kill(former)
     cell.advance(10.0)
     cell.store_faults.clear()
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
-def test_home_that_alone_is_refused_by_the_store_hands_over():
-    """The store serves all but the home: the home says so, and another claims."""
+def test_leader_that_alone_is_refused_by_the_store_hands_over():
+    """The store serves all but the leader: the leader says so, and another claims."""
     cell = make_cell(n_instances=4)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec="4.0 done 1000")
     cell.advance(0.5)
     cell.store_faults.status = 503
     cell.store_faults.only = {former}
     cell.advance(4.0)
-    assert cell.home() != former
-    assert cell.homes() == [cell.home()]
+    assert cell.leader() != former
+    assert cell.leaders() == [cell.leader()]
     cell.advance(3.0)
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert cell.check() == []
 
 
-def test_entry_without_store_accepts_through_the_home():
+def test_gateway_without_store_accepts_through_the_leader():
     """One instance is refused by the store: its clients are served all the same."""
     cell = make_cell(n_instances=3)
     name = cell.other()
@@ -219,14 +219,14 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_isolated_instance_leaves_a_living_home_alone():
+def test_isolated_instance_leaves_a_living_leader_alone():
     """An instance is cut off from all others but reaches the store: it must not take turns."""
     cell = make_cell(n_instances=4)
-    home, name = cell.home(), cell.other()
+    leader, name = cell.leader(), cell.other()
     token = cell.workers["i-0"].token
     cell.isolate(name)
     cell.advance(6.0)
-    assert cell.home() == home
+    assert cell.leader() == leader
     assert cell.workers["i-0"].token == token
     answers = cell.submit(name, JOB, STEP)
     cell.advance(4.0)
@@ -234,11 +234,11 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_cancel_at_an_instance_that_does_not_reach_the_home():
-    """The mark is durable, so the 2xx is true; the home finds it and stops the tasks."""
+def test_cancel_at_an_instance_that_does_not_reach_the_leader():
+    """The mark is durable, so the 2xx is true; the leader finds it and stops the tasks."""
     cell = make_cell(n_instances=3)
     name = cell.other()
-    cell.submit(cell.home(), JOB, STEP, spec="30.0 done 1000")
+    cell.submit(cell.leader(), JOB, STEP, spec="30.0 done 1000")
     cell.advance(0.5)
     cell.isolate(name)
     cell.advance(0.5)
@@ -284,18 +284,18 @@
     cell.advance(10.0)
     assert cell.state(names[0], JOB) == "completed"
     assert cell.check() == []
-    assert len(cell.homes()) == 1
+    assert len(cell.leaders()) == 1
 
 
-def test_drain_hands_the_home_over_and_cuts_nothing_off():
-    """SIGTERM at the home: another takes over at once, calls are answered until the end."""
+def test_drain_hands_the_leader_over_and_cuts_nothing_off():
+    """SIGTERM at the leader: another takes over at once, calls are answered until the end."""
     cell = make_cell(n_instances=3)
-    former = cell.home()
+    former = cell.leader()
     cell.submit(former, JOB, STEP, spec="5.0 done 1000")
     cell.advance(0.2)
     cell.daemons[former].drain()
     cell.advance(0.5)
-    assert cell.home() != former
+    assert cell.leader() != former
     answers = cell.call(former, "GET", f"/urgent/{JOB}")
     cell.advance(0.3)
     status, value, headers = answers[0]
@@ -308,7 +308,7 @@
 def test_holds_do_not_spin_while_an_end_waits_for_its_record():
     """The store is down for five seconds after an end: the worker is held a few times a second.
 
-    Answered at once again and again, holds took all of the home's processor.
+    Answered at once again and again, holds took all of the leader's processor.
     """
     cell = make_cell(n_instances=2, n_workers=1)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.5 done 1000")
@@ -320,27 +320,27 @@
 
 
 def test_constants_fit_together():
-    """A silent home is replaced well within a lease, and a lease within the worker's maximum."""
-    takeover = _leadership.SILENT_S + _leadership.STILL_S + 0.5
-    assert takeover + _session.HOLD_WAIT_S < _fleet.LEASE_S
-    assert _recorder.BEAT_S * 2 <= _leadership.STILL_S
+    """A silent leader is replaced well within a lease, and a lease within the worker's maximum."""
+    takeover = _leadership.UNRESPONSIVE_S + _leadership.STILL_S + 0.5
+    assert takeover + _session.RENEWAL_WAIT_S < _fleet.LEASE_S
+    assert _recorder.HEARTBEAT_S * 2 <= _leadership.STILL_S
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_that_the_next_home_hears_of_late_is_not_started_again(monkeypatch, safeguard):
-    """A job is accepted while homes change: the former home starts it, the next one has read the
-    table before.
+def test_job_that_the_next_leader_hears_of_late_is_not_started_again(monkeypatch, safeguard):
+    """A job is accepted while leaders change: the former leader starts it, the next has read
+    the table before.
 
     It sees runs of a job that it does not know, and hears of the job a little later. Without taking
     the runs on it starts the same tasks again.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_adopt_strays", lambda self, job, now: None)
+        monkeypatch.setattr(Scheduler, "_adopt_orphan_runs", lambda self, job, now: None)
         monkeypatch.setattr(Scheduler, "may_start", lambda self, job, now: True)
     cell = make_cell(n_instances=3, n_workers=3)
-    scheduler = cell.daemons[cell.home()].supervisor.part("home")._scheduler
+    scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     worker = cell.workers["i-0"]
-    calls = cell.daemons[cell.home()].supervisor.part("home")._fleet._sessions["i-0"].calls
+    calls = cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions["i-0"].calls
     start = StartRun(
         worker_id="i-0",
         task=f"{JOB}.0.0.0",
@@ -351,7 +351,7 @@
     )
     calls.start(start, until_s=worker.clock_s() + 3.0)
     cell.advance(0.3)
-    assert scheduler.workers["i-0"].strays
+    assert scheduler.workers["i-0"].orphan_runs
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="3.0 done 1000")
     cell.advance(6.0)
     assert (cell.check() == []) is safeguard
@@ -363,11 +363,11 @@
     """The store takes the job and its answer is lost; its next answer is not.
 
     The entry reads the row back and says 200. Without it the client waits longer and, where the
-    home is away, hears that nobody knows.
+    leader is away, hears that nobody knows.
     """
     if not safeguard:
         monkeypatch.setattr(
-            _entry.EntryPart,
+            _gateway.GatewayPart,
             "_store",
             lambda self, value: _job_store.store_job(self.context.store, value),
         )
@@ -385,14 +385,14 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_fault_in_the_home_part_does_not_leave_the_cell_without_a_home(monkeypatch, safeguard):
-    """A decision raises at the home; the supervisor builds the part anew, which knows of nothing.
+def test_fault_in_the_leader_part_does_not_leave_the_cell_without_a_leader(monkeypatch, safeguard):
+    """A decision raises at the leader; the supervisor builds the part anew, which knows of nothing.
 
-    The instance then looks for the home and claims again. Unless the part says that it has ended,
-    leadership holds that this instance is the home, and its clients are never served again.
+    The instance then looks for the leader and claims again. Unless the part says that it has ended,
+    leadership holds that this instance is the leader, and its clients are never served again.
     """
     if not safeguard:
-        monkeypatch.setattr(_home.HomePart, "deposed", lambda self: None)
+        monkeypatch.setattr(_leader.LeaderPart, "deposed", lambda self: None)
     cell = make_cell(n_instances=1)
     part = cell.daemons["a0"].supervisor.part("home")
     part.fail_with(Failure(RuntimeError("a fault of ours")))
@@ -403,14 +403,14 @@
     assert (cell.state("a0", JOB) == "completed") is safeguard
 
 
-def test_fault_of_the_home_while_it_stores_a_job_is_no_refusal(monkeypatch):
-    """The home fails after it may have stored a job: its entry may not say that it was refused."""
+def test_fault_of_the_leader_while_it_stores_a_job_is_no_refusal(monkeypatch):
+    """The leader fails after it may have stored a job: its entry must not call it refused."""
     cell = make_cell(n_instances=2)
     name = cell.other()
     cell.store_faults.status = 503
     cell.store_faults.only = {name}
     monkeypatch.setattr(
-        _home_calls, "store_job", lambda store, value: fail(RuntimeError("a fault"))
+        _leader_calls, "store_job", lambda store, value: fail(RuntimeError("a fault"))
     )
     answers = cell.submit(name, JOB, STEP)
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_janitor.py
+++ b/anvilflow/cell/tests/test_janitor.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from anvilflow.cell._janitor import SWEEP_S, Janitor
+from anvilflow.cell._garbage_collector import SWEEP_S, GarbageCollector
 from anvilflow.cell._tables import job_part
 
 from ._helpers import JOB, end_and_start_all, make_cell
@@ -24,9 +24,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_row_of_a_job_that_has_ended_is_short(monkeypatch, safeguard):
-    """A new home reads the rows of all jobs of two minutes before it starts anything."""
+    """A new leader reads the rows of all jobs of two minutes before it starts anything."""
     if not safeguard:
-        monkeypatch.setattr(Janitor, "shorten", lambda self, job: None)
+        monkeypatch.setattr(GarbageCollector, "shorten", lambda self, job: None)
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(2 * SWEEP_S)
@@ -34,7 +34,7 @@
 
 
 def test_row_of_a_job_that_runs_stays_whole():
-    """Its tasks may have to be started again by a later home."""
+    """Its tasks may have to be started again by a later leader."""
     cell = make_cell(sizes=lambda task, payload: (60.0, "done", 500))
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(2 * SWEEP_S)
@@ -52,13 +52,13 @@
     answers = cell.submit(name, JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(1.0)
     assert answers[0][0] == 200
-    assert cell.state(cell.home(), JOB) == "completed"
+    assert cell.state(cell.leader(), JOB) == "completed"
     assert len(cell.runs_of(f"{JOB}.0.0.0")) == 1
     assert cell.call(name, "GET", "/urgent/")[0][1] == {"pending": 0}
 
 
 def test_short_row_does_not_bring_a_removed_row_back():
-    """A write of a former home is carried out when the row is gone."""
+    """A write of a former leader is carried out when the row is gone."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD)
     cell.advance(1.5)
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -26,15 +26,15 @@
 
 
 def _silent_workers(cell):
-    scheduler = cell.daemons[cell.home()].supervisor.part("home")._scheduler
-    return [name for name, worker in scheduler.workers.items() if worker.silent]
+    scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
+    return [name for name, worker in scheduler.workers.items() if worker.unreachable]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_workers_that_are_all_late_are_not_silent(monkeypatch, safeguard):
     """Answers of all workers begin to come late: taken for silent, none of them got any work."""
     if not safeguard:
-        monkeypatch.setattr(_fleet, "LATE_SILENT_S", 0.0)
+        monkeypatch.setattr(_fleet, "LATE_UNRESPONSIVE_S", 0.0)
     cell = make_cell(n_workers=12)
     _run_jobs(cell, 20, 1.0)
     for faults in cell.worker_faults.values():
@@ -55,13 +55,13 @@
     assert _silent_workers(cell) == ["i-0"]
 
 
-def test_home_that_no_worker_answers_sees_them_all_silent_in_time():
+def test_leader_that_no_worker_answers_sees_them_all_silent_in_time():
     """Cut off from all of them, it must not go on as if their answers were only late."""
     cell = make_cell(n_workers=6)
     _run_jobs(cell, 10, 1.0)
     for faults in cell.worker_faults.values():
         faults.silent = True
-    cell.advance(_fleet.LATE_SILENT_S + 2.5)
+    cell.advance(_fleet.LATE_UNRESPONSIVE_S + 2.5)
     assert len(_silent_workers(cell)) == 6
 
 
@@ -99,8 +99,8 @@
         return fail(WorkerUnreachableError("no answer"))
 
     calls = SimpleNamespace(worker_id="i-0", timeout=0.4, stop=stop)
-    home = SimpleNamespace(limit_s=lambda: 0.0, call_unanswered=lambda: None)
-    session = WorkerSession(clock=clock, calls=calls, lease_s=3.0, home=home)
+    fleet = SimpleNamespace(limit_s=lambda: 0.0, call_unanswered=lambda: None)
+    session = WorkerSession(clock=clock, calls=calls, lease_s=3.0, fleet=fleet)
     session.stop(StopRun(worker_id="i-0", task="a.0.0.0", run_id=1, why="cancelled"))
     clock.pump([0.05] * 200)
     assert (len(sent) <= 14) is safeguard
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -3,7 +3,7 @@
 import pytest
 from twisted.internet.defer import succeed
 
-from anvilflow.cell import _entry, _home_calls
+from anvilflow.cell import _gateway, _leader_calls
 from anvilflow.cell._job_store import store_job
 from anvilflow.exceptions import NotFoundError
 from anvilflow.jobs import Scheduler
@@ -32,7 +32,7 @@
     before its row was durable the job would be gone with the memory of the instances.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "store_job_surely", _acknowledge_and_store_later)
+        monkeypatch.setattr(_gateway, "store_job_surely", _acknowledge_and_store_later)
     cell = make_cell()
     _answer(cell, cell.submit(cell.other(), JOB, STEP))
     _lose_power(cell, back)
@@ -54,15 +54,15 @@
     """A client is told that its job is cancelled; in that moment all instances lose power.
 
     Half of the tasks run, the others wait for room. With the acknowledgement ahead of the record
-    the next home takes the job for one that goes on, and starts the rest of it.
+    the next leader takes the job for one that goes on, and starts the rest of it.
     """
     if not safeguard:
-        monkeypatch.setattr(_home_calls.HomeCalls, "_cancel", _cancel_in_memory)
+        monkeypatch.setattr(_leader_calls.LeaderCalls, "_cancel", _cancel_in_memory)
     cell = make_cell(n_workers=1, cpu=4000)
     step = {"count": 8, "cpu": 1000}
     cell.submit("a0", JOB, step, spec="3.0 done 1000")
     cell.advance(1.0)
-    instance = cell.home() if asked == "home" else cell.other()
+    instance = cell.leader() if asked == "home" else cell.other()
     _answer(cell, cell.call(instance, "DELETE", f"/urgent/{JOB}"))
     _lose_power(cell, back)
     cell.advance(6.0)
@@ -78,7 +78,7 @@
     """A client is shown that its job is completed; in that moment all machines lose power.
 
     Its tasks end while the store does not answer, so that the record of their ends has to wait.
-    Shown ahead of the record the job is begun anew by the next home: the workers that could tell
+    Shown ahead of the record the job is begun anew by the next leader: the workers that could tell
     of the ends are gone, too.
     """
     if not safeguard:
@@ -110,7 +110,7 @@
     one would deny a queue that is there.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry.EntryPart, "not_ready", _deny)
+        monkeypatch.setattr(_gateway.GatewayPart, "not_ready", _deny)
     cell = make_cell()
     routes = [{"name": "added", "prefix": "/added/", "priority": 0}]
     cell.store.put("op", "config", make_platform_config(7, queues=routes))
@@ -159,10 +159,10 @@
 
 
 def _wait_until_completed(cell):
-    """Ask the home all the time; stop in the moment in which the job is shown as completed."""
+    """Ask the leader all the time; stop in the moment in which the job is shown as completed."""
     for _ in range(round(3.0 / MOMENT_S)):
         cell.clock.advance(MOMENT_S)
-        for name in cell.homes():
+        for name in cell.leaders():
             answers = cell.call(name, "GET", f"/urgent/{JOB}")
             if answers and answers[0][1] == {"state": "completed"}:
                 return
@@ -185,8 +185,8 @@
 
 
 def _cancel_in_memory(self, job_id):
-    self.home.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
-    return succeed(_home_calls._reply("ok"))
+    self.leader.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
+    return succeed(_leader_calls._reply("ok"))
 
 
 def _state_in_memory(self, job_id):
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -1,4 +1,4 @@
-"""What the home and entries write in one transaction and in one row.
+"""What the leader and entries write in one transaction and in one row.
 
 The store takes 1 MB in a call. Records of jobs grow with their tasks and checkpoints: 27 bytes for
 each task that has one. Where many large jobs changed at the same time the transaction was refused,
@@ -11,7 +11,7 @@
 
 import pytest
 
-from anvilflow.cell import _entry, _recorder
+from anvilflow.cell import _gateway, _recorder
 from anvilflow.decisions import _send_window
 from anvilflow.jobs._job import JobRun
 from anvilflow.standins import StoreCall
@@ -65,9 +65,9 @@
     cell = make_cell(n_workers=8, sizes=_sizes)
     _limit_calls(monkeypatch, cell.store)
     for number in range(30):
-        cell.submit(cell.home(), f"{number + 1:016x}", {"count": 2, "cpu": 1000})
+        cell.submit(cell.leader(), f"{number + 1:016x}", {"count": 2, "cpu": 1000})
     cell.advance(3.0)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000})
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000})
     cell.advance(3.0)
     ended = cell.store.value("ended", JOB, part="cell")
     assert (ended is not None and ended["state"] == "completed") is safeguard
@@ -77,16 +77,16 @@
 def test_record_that_exceeds_a_row_does_not_stop_all_records(monkeypatch, safeguard):
     """A job of 2,500 tasks with checkpoints has a record of 74 kB; a row holds 64 kB.
 
-    Its transaction was refused and made again for ever, and with it all that the home records.
+    Its transaction was refused and made again for ever, and with it all that the leader records.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "MAX_ROW_BYTES", 10_000_000)
     monkeypatch.setattr(JobRun, "to_record", _large(JobRun.to_record, 70_000))
     cell = make_cell(n_workers=8, sizes=_sizes)
     _limit_rows(monkeypatch, cell.store)
-    cell.submit(cell.home(), f"{1:016x}", {"count": 2, "cpu": 1000})
+    cell.submit(cell.leader(), f"{1:016x}", {"count": 2, "cpu": 1000})
     cell.advance(3.0)
-    cell.submit(cell.home(), JOB, {"count": 1, "cpu": 1000})
+    cell.submit(cell.leader(), JOB, {"count": 1, "cpu": 1000})
     cell.advance(3.0)
     assert (cell.store.value("ended", JOB, part="cell") is not None) is safeguard
     record = cell.store.value("progress", f"{1:016x}", part="cell")
@@ -112,7 +112,7 @@
     again, and its instance took the store for away until its next look.
     """
     if not safeguard:
-        monkeypatch.setattr(_entry, "MAX_ROW_BYTES", 10_000_000)
+        monkeypatch.setattr(_gateway, "MAX_ROW_BYTES", 10_000_000)
     cell = make_cell()
     _limit_rows(monkeypatch, cell.store)
     steps = [{"count": 1, "cpu": 1000, "mem-mb": 100, "after": [0]} for _ in range(1_400)]
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -11,16 +11,16 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_orders_of_a_former_home_that_arrive_late_do_nothing(monkeypatch, safeguard):
-    """The home's starts are on their way when it dies; another home starts the tasks elsewhere.
+def test_commands_of_a_former_leader_that_arrive_late_do_nothing(monkeypatch, safeguard):
+    """The leader's starts are on their way when it dies; another leader starts the tasks elsewhere.
 
-    Then the old orders arrive. They carry the former home's token, and the worker has seen a higher
-    one. Were the tokens of both homes alike, the tasks would run twice.
+    Then the old orders arrive. They carry the former leader's token, and the worker has seen a
+    higher one. Were the tokens of both leaders alike, the tasks would run twice.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
     cell = make_cell(n_instances=3, n_workers=3)
-    former = cell.home()
+    former = cell.leader()
     for worker_id in ("i-0", "i-1"):
         cell.worker_faults[worker_id].late_s = 2.0
         cell.worker_faults[worker_id].only = {former}
@@ -35,9 +35,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_on_an_unheard_worker_is_not_started_elsewhere(monkeypatch, safeguard):
-    """The home dies while a worker is cut off and runs on: nobody can say what runs there.
+    """The leader dies while a worker is cut off and runs on: nobody can say what runs there.
 
-    The next home waits until every lease that was sent has surely ended. Without the wait it
+    The next leader waits until every lease that was sent has surely ended. Without the wait it
     starts the tasks a second time while they still run.
     """
     if not safeguard:
@@ -46,7 +46,7 @@
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
     cell.advance(1.2)
     cell.worker_faults[cell.spans[0].worker].silent = True
-    cell.kill(cell.home())
+    cell.kill(cell.leader())
     cell.advance(8.0)
     assert (cell.check() == []) is safeguard
     assert len(cell.runs_of(f"{JOB}.0.0.0") + cell.runs_of(f"{JOB}.0.0.1")) == 3
@@ -77,7 +77,7 @@
         assert cell.state("a0", JOB) == "completed"
 
 
-def test_new_life_at_an_old_address_gets_no_orders_of_the_old_one():
+def test_new_life_at_an_old_address_gets_no_commands_of_the_old_one():
     """A worker crashes and starts again under another id: what ran there starts elsewhere."""
     cell = make_cell(n_instances=2, n_workers=2)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="5.0 done 9000")
@@ -109,7 +109,7 @@
     tasks would have waited for ever.
     """
     if not safeguard:
-        monkeypatch.setattr(_fleet.Fleet, "is_silent", lambda self, worker_id: False)
+        monkeypatch.setattr(_fleet.Fleet, "is_unreachable", lambda self, worker_id: False)
     cell = make_cell(n_instances=2, n_workers=2)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="3.0 done 6000")
     cell.advance(0.5)
@@ -170,7 +170,7 @@
     """A worker drains and stays seconds longer than the least time that it gave.
 
     It does not reach the store, so that its entry lapses; its tasks run on under their leases. Then
-    its answers are lost for a second. The home took it for gone and started the tasks elsewhere.
+    its answers are lost for a second. The leader took it for gone and started the tasks elsewhere.
     Evidence: the platform's page calls the time a minimum, and entries lapse while the store is
     down.
     """
@@ -214,7 +214,9 @@
 
 
 def _has_left_or_lost_an_answer(self, now):
-    return self.leaves_at is not None and now > self.leaves_at and self.silent and not self.listed
+    return (
+        self.leaves_at is not None and now > self.leaves_at and self.unreachable and not self.listed
+    )
 
 
 def test_worker_that_was_forgotten_and_comes_back_is_held_once():
@@ -222,7 +224,7 @@
     forgotten.
 
     It answers again, and a moment later it is registered. The session of before went on beside the
-    new one: twice as many holds, and nobody would have ended it with its home. It would have made
+    new one: twice as many holds, and nobody would have ended it with its leader. It would have made
     the instance give up a later term, for the worker refuses the old token then.
     """
     cell = make_cell(n_instances=3, n_workers=3)
@@ -245,7 +247,7 @@
 def test_worker_that_comes_back_after_its_lease_is_held_once(monkeypatch, safeguard):
     """A worker is dark and its entry lapses; it answers again before it is given up, and registers.
 
-    The home had forgotten the worker with its lease, and the session went on: it renewed leases,
+    The leader had forgotten the worker with its lease, and the session went on: it renewed leases,
     and what the worker listed was not heard by anybody. Registered again, the worker had two.
     """
     if not safeguard:
@@ -258,13 +260,13 @@
     cell.advance(1.6)
     cell.worker_faults["i-0"].clear()
     cell.advance(1.0)
-    home = cell.daemons[cell.home()].supervisor.part("home")
-    assert ("i-0" in home._scheduler.workers) is safeguard
+    leader = cell.daemons[cell.leader()].supervisor.part("home")
+    assert ("i-0" in leader._scheduler.workers) is safeguard
     cell.store.put("servers", "i-0", cell.workers["i-0"].entry())
     cell.advance(1.0)
     before = cell.workers["i-0"].n_holds
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.HOLD_WAIT_S
+    assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.RENEWAL_WAIT_S
 
 
 def _forget_workers(self, now):
--- a/anvilflow/jobs/__init__.py
+++ b/anvilflow/jobs/__init__.py
@@ -1,16 +1,16 @@
 """Jobs of a cell: what clients submit and what is decided next, without input or output."""
 
 from ._actions import (
-    AskAdvice,
     NoteCrashingTask,
     NoteLostWorker,
     NoteWait,
+    RequestAdvice,
     SetPace,
     StartRun,
     StopRun,
 )
-from ._crash_history import CrashHistory, Fate, LostRun
-from ._grace_period import ORDER_S, GracePeriod
+from ._crash_history import CrashHistory, LossOutcome, LostRun
+from ._grace_period import COMMAND_S, GracePeriod
 from ._handover import HandoverWorker, make_handover
 from ._job import ENDED_STATES, JobRun, JobState, TaskState, longest_chain_s
 from ._policy import SchedulingPolicy
@@ -20,14 +20,12 @@
 from ._worker import RunEnd, RunReport, Worker, WorkerInfo, WorkerReport
 
 __all__ = [
+    "COMMAND_S",
     "ENDED_STATES",
-    "ORDER_S",
     "AdviceRules",
-    "AskAdvice",
     "CellConfig",
     "CrashHistory",
     "EndedJob",
-    "Fate",
     "GracePeriod",
     "HandoverWorker",
     "JobRecord",
@@ -35,11 +33,13 @@
     "JobSpec",
     "JobState",
     "Limits",
+    "LossOutcome",
     "LostRun",
     "NoteCrashingTask",
     "NoteLostWorker",
     "NoteWait",
     "Queue",
+    "RequestAdvice",
     "RunEnd",
     "RunReport",
     "Scheduler",
--- a/anvilflow/jobs/_actions.py
+++ b/anvilflow/jobs/_actions.py
@@ -4,7 +4,7 @@
 
 
 class StartRun(Struct, kw_only=True):
-    """Start a task on a worker; `payload` is left out where the home does not hold it."""
+    """Start a task on a worker; `payload` is left out where the leader does not hold it."""
 
     worker_id: str
     task: str
@@ -32,7 +32,7 @@
     percent: int
 
 
-class AskAdvice(Struct, kw_only=True):
+class RequestAdvice(Struct, kw_only=True):
     """Ask which of some workers may run a step; `length_s` is how long the answer takes."""
 
     step: str
--- a/anvilflow/jobs/_crash_book.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -3,9 +3,9 @@
 from msgspec import structs
 
 from ._actions import NoteCrashingTask, NoteLostWorker
-from ._crash_history import Fate
+from ._crash_history import LossOutcome
 from ._job import JobState, TaskState
-from ._trial_book import TrialBook
+from ._trial_tracker import TrialTracker
 
 #: Workers that are lost within this time of each other have a common cause. Unit: seconds.
 COMMON_CAUSE_S = 1.0
@@ -14,10 +14,10 @@
 REMEMBER_LOSS_S = 60.0
 
 
-class CrashBook(TrialBook):
+class CrashTracker(TrialTracker):
     """Counts the workers lost while running each task, and fails jobs whose tasks crash workers.
 
-    Base of :class:`RunBook`. A crash is confirmed only when another incarnation answers at the
+    Base of :class:`RunTracker`. A crash is confirmed only when another incarnation answers at the
     worker's address: until then a crashed worker cannot be told from one that is partitioned and
     still running.
     """
@@ -49,8 +49,10 @@
         if worker is None:
             return []
         self.needs_whole_plan = True
-        self._has_lost_unheard_worker = self._has_lost_unheard_worker or not worker.confirmed
-        fate = Fate.CRASHED if is_replaced else Fate.GONE
+        self._has_lost_unconfirmed_worker = (
+            self._has_lost_unconfirmed_worker or not worker.confirmed
+        )
+        fate = LossOutcome.CRASHED if is_replaced else LossOutcome.GONE
         tasks = sorted(worker.runs)
         for run in list(worker.runs.values()):
             if worker.is_leaving:
@@ -61,10 +63,10 @@
             self._forget_worker(worker_id)
             return []
         self._note_lost_worker(worker, False, now)
-        return self._set_fate(worker_id, fate, worker.info.address, tasks, now)
+        return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
 
-    def take_on_unheard(self, worker_id, runs, now):
-        """Take on what an earlier home named as running on a worker that it could not reach.
+    def adopt_unconfirmed_runs(self, worker_id, runs, now):
+        """Take on what an earlier leader named as running on a worker that it could not reach.
 
         The tasks stay there until the worker answers or its lease has surely ended; all others need
         not wait for it.
@@ -96,7 +98,7 @@
         be heard, or what it still begins would run on under leases that nobody watches.
         """
         if self.grace_period.waited(now):
-            self._bound_unheard_leases()
+            self._bound_unconfirmed_leases()
         for worker in list(self.workers.values()):
             has_left = worker.has_left(now)
             if not (has_left or worker.is_lapsed(now)):
@@ -105,7 +107,7 @@
                 if has_left or worker.is_leaving:
                     self._drop_run(run, now)
                 else:
-                    self._lose_run(run, Fate.UNKNOWN, now)
+                    self._lose_run(run, LossOutcome.UNKNOWN, now)
 
     def _lose_run(self, run, fate, now):
         """Remove a run whose worker was lost, and add the loss to its task's history."""
@@ -122,7 +124,7 @@
     def _note_lost_worker(self, worker, had_trial, now):
         worker_id = worker.info.worker_id
         at, had_trial_before = self._lost_workers.get(
-            worker_id, (worker.silent_at if worker.silent else now, False)
+            worker_id, (worker.unreachable_since if worker.unreachable else now, False)
         )
         self._lost_workers[worker_id] = (at, had_trial or had_trial_before)
         for other, (lost_at, _) in list(self._lost_workers.items()):
@@ -135,9 +137,9 @@
             return False
         lost_at, _ = self._lost_workers[worker_id]
         others = {
-            other: (worker.silent_at, other in self.trials)
+            other: (worker.unreachable_since, other in self.trials)
             for other, worker in self.workers.items()
-            if worker.silent
+            if worker.unreachable
         }
         others.update(self._lost_workers)
         others.pop(worker_id, None)
@@ -147,7 +149,7 @@
             if other not in history.lost_runs
         )
 
-    def _set_fate(self, worker_id, fate, address, tasks, now):
+    def _set_loss_outcome(self, worker_id, fate, address, tasks, now):
         """Set the fate of a worker in the histories of all tasks that were running there."""
         runs_and_losses = {}
         for suspect in self.suspects.values():
@@ -165,7 +167,7 @@
         note = NoteLostWorker(
             worker_id=worker_id,
             address=address,
-            known_by="replaced" if fate is Fate.CRASHED else "unlisted",
+            known_by="replaced" if fate is LossOutcome.CRASHED else "unlisted",
             tasks=tasks or sorted(runs_and_losses),
             runs_and_losses=runs_and_losses,
         )
@@ -182,7 +184,7 @@
             job = suspect.step.job
             if job.is_ended or not suspect.history.crashes_workers:
                 continue
-            crashed = [each for each in suspect.history.losses if each.fate is Fate.CRASHED]
+            crashed = [each for each in suspect.history.losses if each.fate is LossOutcome.CRASHED]
             actions.append(
                 NoteCrashingTask(
                     job=job.job_id,
@@ -212,30 +214,32 @@
     def _review_loss(self, suspect, lost, by_address, now):
         worker = self.workers.get(lost.worker_id)
         if worker is None:
-            if lost.fate is not Fate.CRASHED and lost.address in by_address:
-                return self._set_fate(lost.worker_id, Fate.CRASHED, lost.address, [], now)
-            if lost.fate is Fate.PLACED:
+            if lost.fate is not LossOutcome.CRASHED and lost.address in by_address:
+                return self._set_loss_outcome(
+                    lost.worker_id, LossOutcome.CRASHED, lost.address, [], now
+                )
+            if lost.fate is LossOutcome.PLACED:
                 self._mark_unknown(suspect, lost, now)
             return []
-        if suspect.task.name in worker.runs or lost.fate is Fate.CRASHED:
+        if suspect.task.name in worker.runs or lost.fate is LossOutcome.CRASHED:
             return []
-        if worker.confirmed and not worker.silent:
+        if worker.confirmed and not worker.unreachable:
             suspect.history.forget(lost.worker_id)
             suspect.step.job.touch(now)
             suspect.step.job.wake()
-        elif lost.fate is Fate.PLACED and worker.is_lapsed(now):
+        elif lost.fate is LossOutcome.PLACED and worker.is_lapsed(now):
             self._mark_unknown(suspect, lost, now)
         return []
 
     def _mark_unknown(self, suspect, lost, now):
         """Count a recorded start as lost: its worker is missing or its lease has expired."""
-        suspect.history.lost_runs[lost.worker_id] = structs.replace(lost, fate=Fate.UNKNOWN)
+        suspect.history.lost_runs[lost.worker_id] = structs.replace(lost, fate=LossOutcome.UNKNOWN)
         suspect.history.last_lost_at = now
         suspect.step.job.touch(now)
         suspect.step.job.wake()
 
     def restore_suspects(self, job):
-        """Restore the suspects of a job from the histories recorded by an earlier home."""
+        """Restore the suspects of a job from the histories recorded by an earlier leader."""
         for step in job.steps.values():
             for task in step.tasks:
                 if task.crash_history is not None:
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -1,4 +1,4 @@
-"""What the next home could not find out by itself about workers, for the home's row."""
+"""What the next leader could not find out by itself about workers, for the leader's row."""
 
 from msgspec import Struct
 
@@ -7,17 +7,17 @@
 #: Silence after which a worker counts as dark. A call without an answer is made again at once, and
 #: one that was only lost has its answer in some 5 ms. What dies in this time and the 0.15 s between
 #: two writes of the row beside a dark worker costs 3.2 s of waiting. Unit: seconds.
-DARK_S = 0.1
+UNREACHABLE_S = 0.1
 
 #: Workers and runs in the row at the most: some 45 KB of the 64 KB that a row holds. A larger row
-#: would be refused, and with it all that the home records. Those left out only make the next home
-#: wait for their leases.
+#: would be refused, and with it all that the leader records. Those left out only make the next
+#: leader wait for their leases.
 MAX_WORKERS = 60
 MAX_RUNS = 600
 
 
 class HandoverWorker(Struct, kw_only=True):
-    """A worker that the next home cannot ask, or would not find in the registry.
+    """A worker that the next leader cannot ask, or would not find in the registry.
 
     Parameters
     ----------
@@ -36,16 +36,16 @@
 def make_handover(scheduler, now):
     """Return the :class:`HandoverWorker` of each worker that is dark or not registered any more.
 
-    The list is exact: it is written under the home's row, and a worker in it gets no task before
+    The list is exact: it is written under the leader's row, and a worker in it gets no task before
     a row without it is durable.
     """
     handover = []
     for worker in scheduler.workers.values():
-        if _is_dark(worker, now):
+        if _is_unreachable(worker, now):
             runs = [(run.task, run.run_id) for run in worker.runs.values()]
             fresh = [index for index, run in enumerate(worker.runs.values()) if run.is_fresh]
             handover.append(
-                HandoverWorker(info=worker.info, runs=runs + list(worker.strays), fresh=fresh)
+                HandoverWorker(info=worker.info, runs=runs + list(worker.orphan_runs), fresh=fresh)
             )
         elif _is_hidden(worker):
             handover.append(HandoverWorker(info=worker.info))
@@ -53,10 +53,10 @@
 
 
 def _is_hidden(worker):
-    """Whether the next home would not find the worker by itself.
+    """Whether the next leader would not find the worker by itself.
 
-    Also one that has not answered this home: it is known from the former home's row alone, and the
-    next home would start its tasks again while they still run.
+    Also one that has not answered this leader: it is known from the former leader's row alone, and
+    the next leader would start its tasks again while they still run.
     """
     return not worker.listed
 
@@ -72,7 +72,7 @@
     return kept
 
 
-def _is_dark(worker, now):
+def _is_unreachable(worker, now):
     if not worker.confirmed:
         return worker.runs_known
-    return worker.silent and now - worker.silent_at >= DARK_S
+    return worker.unreachable and now - worker.unreachable_since >= UNREACHABLE_S
--- a/anvilflow/jobs/_run_book.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -2,14 +2,14 @@
 
 from ._actions import StopRun
 from ._advice import has_ticket
-from ._crash_book import CrashBook
+from ._crash_tracker import CrashTracker
 from ._job import JobState, TaskState
-from ._pacing import pace_fillers
-from ._sickness import note_duration
-from ._worker import PendingEnd, Stray
+from ._pacing import pace_background_tasks
+from ._stalled_runs import note_duration
+from ._worker import OrphanRun, PendingEnd
 
-#: Runs that one home may start of a task before another home's numbers begin. A new home does not
-#: know how many its predecessor started, and a worker refuses a number that is not higher.
+#: Runs that one leader may start of a task before another leader's numbers begin. A new leader does
+#: not know how many its predecessor started, and a worker refuses a number that is not higher.
 RUNS_PER_TERM = 1000
 
 #: Pause between tries to start tasks of a job whose payload the store does not have. Unit: seconds.
@@ -17,11 +17,11 @@
 
 #: First wait before a worker that refused or failed without reason gets work again, doubled each
 #: time. Unit: seconds.
-FIRST_REST_S = 0.5
-MAX_REST_S = 8.0
+FIRST_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 8.0
 
 #: Doublings after which it is the longest in any case: unbounded, the power passed what a float
-#: holds after 1,025 bad ends in a row, and the home ended with an OverflowError.
+#: holds after 1,025 bad ends in a row, and the leader ended with an OverflowError.
 MAX_DOUBLINGS = 4
 
 #: Ends without success in a row after which a worker rests. Two may be one job's own fault.
@@ -31,11 +31,11 @@
 ENDS_PER_REPORT = 500
 
 #: Time that a run of an unknown job goes on before it is stopped: the job may have been accepted
-#: while homes changed, and is heard of by the next reading of the feed. Unit: seconds.
+#: while leaders changed, and is heard of by the next reading of the feed. Unit: seconds.
 UNKNOWN_JOB_S = 1.5
 
 
-class RunBook(CrashBook):
+class RunTracker(CrashTracker):
     """What runs where: reports, ends, and answers to orders.
 
     Base of :class:`Scheduler`, which adds the jobs: a run is started for a job's task, and its end
@@ -49,10 +49,10 @@
 
     # Reports
 
-    def report(self, worker_id, report, *, asked_at, now):
-        """Take a worker's answer to a hold that was sent at `asked_at`; return the stops.
+    def report(self, worker_id, report, *, requested_at, now):
+        """Take a worker's answer to a hold that was sent at `requested_at`; return the stops.
 
-        Runs that were started or stopped after `asked_at` may be missing in it for that reason.
+        Runs that were started or stopped after `requested_at` may be missing in it for that reason.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -66,22 +66,22 @@
         for item in report.active:
             listed.add((item.task, item.run_id))
             actions += self._active(worker, item, report.clock_s, now)
-        for key in set(worker.strays) - listed:
-            del worker.strays[key]
+        for key in set(worker.orphan_runs) - listed:
+            del worker.orphan_runs[key]
             self.freed.add(worker_id)
         # A worker tells of a limited number of ends at once. Where more wait, as after a long
         # outage of the store, a run that is not listed may have ended among the rest.
         is_whole = len(report.ended) < ENDS_PER_REPORT
         for run in list(worker.runs.values()) if is_whole else ():
             answered = run.state in ("running", "barred")
-            if answered and run.sent_at < asked_at and (run.task, run.run_id) not in listed:
+            if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
                 self._drop_run(run, now)
         self.note_survivals(worker, now)
-        self._hear(worker, now)
-        if worker.silent:
+        self._confirm_worker(worker, now)
+        if worker.unreachable:
             self.needs_whole_plan = True
-        worker.silent = worker.nobody_listens = False
-        actions += pace_fillers(self, worker, now)
+        worker.unreachable = worker.connection_refused = False
+        actions += pace_background_tasks(self, worker, now)
         return actions
 
     def _active(self, worker, item, clock_s, now):
@@ -96,7 +96,7 @@
         return self._adopt(worker, item, run, now)
 
     def _adopt(self, worker, item, known, now):
-        """Take on a run that another home started, or stop it when it has no place here."""
+        """Take on a run that another leader started, or stop it when it has no place here."""
         step, task = self.find_task(item.task)
         wanted = (
             known is None
@@ -113,11 +113,13 @@
             run.checkpoint = item.checkpoint
             self._began(run, now)
             return []
-        stray = worker.strays.setdefault((item.task, item.run_id), Stray(item=item, now=now))
-        waits = self._may_become_known(item.task) and now - stray.seen_at < UNKNOWN_JOB_S
-        if stray.stopped or waits:
+        orphan = worker.orphan_runs.setdefault(
+            (item.task, item.run_id), OrphanRun(item=item, now=now)
+        )
+        waits = self._may_become_known(item.task) and now - orphan.seen_at < UNKNOWN_JOB_S
+        if orphan.stopped or waits:
             return []
-        stray.stopped = True
+        orphan.stopped = True
         return [
             StopRun(
                 worker_id=worker.info.worker_id, task=item.task, run_id=item.run_id, why="stray"
@@ -127,10 +129,10 @@
     def _may_be_heard_of(self, job_id):
         """Whether a job is unknown, and may yet come with the next reading of the feed.
 
-        Runs of ended jobs must not wait for that: a home that takes over after a cancelling would
+        Runs of ended jobs must not wait for that: a leader that takes over after a cancelling would
         let them run on, and so would each one after it.
         """
-        return not self.knows_job(job_id)
+        return not self.has_job(job_id)
 
     def _may_become_known(self, name):
         job_id = name.split(".", 1)[0]
@@ -153,26 +155,26 @@
                 if pending.change is None and task is not None and step.job is job:
                     actions += self._settle_end(worker, step, task, pending.end, None, now)
                     pending.change = job.change
-        self._adopt_strays(job, now)
+        self._adopt_orphan_runs(job, now)
         return actions
 
-    def _adopt_strays(self, job, now):
-        """Take on what a former home started of a job that is only heard of now.
+    def _adopt_orphan_runs(self, job, now):
+        """Take on what a former leader started of a job that is only heard of now.
 
         Without it the job's tasks would be started a second time while the first runs go on.
         """
         for worker in self.workers.values():
-            for key, stray in list(worker.strays.items()):
-                step, task = job.task_named(stray.item.task)
-                if not stray.item.task.startswith(f"{job.job_id}.") or task is None:
+            for key, orphan in list(worker.orphan_runs.items()):
+                step, task = job.task_named(orphan.item.task)
+                if not orphan.item.task.startswith(f"{job.job_id}.") or task is None:
                     continue
                 if task.state is not TaskState.WAITING:
                     continue
-                del worker.strays[key]
-                run = self._make_run(worker, step, task, stray.item.run_id, now)
+                del worker.orphan_runs[key]
+                run = self._make_run(worker, step, task, orphan.item.run_id, now)
                 run.is_adopted = True
                 self._began(run, now)
-                if stray.stopped:
+                if orphan.stopped:
                     run.state = "barred"
 
     def new_run(self, worker, step, task, now):
@@ -206,7 +208,7 @@
     # Ends
 
     def _ended(self, worker, end, now):
-        if worker.strays.pop((end.task, end.run_id), None) is not None:
+        if worker.orphan_runs.pop((end.task, end.run_id), None) is not None:
             self.freed.add(worker.info.worker_id)
         run = worker.runs.get(end.task)
         if run is not None and run.run_id == end.run_id:
@@ -221,14 +223,14 @@
             task.runs.pop(worker.info.worker_id, None)
             self.forget_placed(run, now)
         actions = self._settle_end(worker, step, task, end, run, now)
-        # Also of a job that has ended, until that is durable: a home that takes over before knows
+        # Also of a job that has ended, until that is durable: a leader that takes over before knows
         # neither of the job's end nor of this one, and would run the task again.
         if step.job.change > step.job.recorded_change:
             worker.ack_queue.append(PendingEnd(end=end, change=step.job.change, now=now))
         return actions
 
     def _settle_end(self, worker, step, task, end, run, now):
-        """Count the end of a task's run; `run` is None when this home has not known the run."""
+        """Count the end of a task's run; `run` is None when this leader has not known the run."""
         task.run_id = max(task.run_id, end.run_id)
         actions = []
         if not step.job.is_ended:
@@ -295,7 +297,7 @@
         worker.n_bad += 1
         if worker.n_bad >= BAD_ENDS:
             n_doublings = min(MAX_DOUBLINGS, worker.n_bad - BAD_ENDS)
-            rest = min(MAX_REST_S, FIRST_REST_S * 2**n_doublings)
+            rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**n_doublings)
             worker.retry_at = now + rest
 
     # Answers to calls
@@ -325,7 +327,7 @@
             run.job.hold_back_until = now + NO_PAYLOAD_S
         elif outcome in ("room", "unhealthy"):
             self._worker_did_badly(run.worker, now)
-            run.worker.retry_at = max(run.worker.retry_at, now + FIRST_REST_S)
+            run.worker.retry_at = max(run.worker.retry_at, now + FIRST_BACKOFF_S)
         self._drop_run(run, now)
         return self._stop_rest_of_gang(task, run_id, now)
 
@@ -367,7 +369,7 @@
             run.state = "barred"
             run.sent_at = now
 
-    def advised(self, step_key, asked, tickets, valid_until, now):
+    def advice_received(self, step_key, asked, tickets, valid_until, now):
         """Take the answer to an ask; `tickets` by worker is None when there was no answer."""
         self.asking.pop(step_key, None)
         job = self.jobs.get(step_key.split(".", 1)[0])
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -7,8 +7,8 @@
 from ._placement import plan_starts
 from ._policy import SchedulingPolicy
 from ._reservations import Reservations
-from ._run_book import RunBook
-from ._sickness import GIVEN_UP_SLOWNESS, find_sick_runs, has_copy
+from ._run_tracker import RunTracker
+from ._stalled_runs import GIVEN_UP_SLOWNESS, find_stalled_runs, has_copy
 
 #: Least time between two looks at all jobs and runs for what falls due by time alone: occurrences,
 #: leases, leaving workers, sick runs. A plan follows each event, hundreds a second on 176 workers,
@@ -16,8 +16,8 @@
 LOOK_S = 0.1
 
 
-class Scheduler(RunBook):
-    """The jobs and workers of a cell, as the home sees them.
+class Scheduler(RunTracker):
+    """The jobs and workers of a cell, as the leader sees them.
 
     Inputs are methods that take what happened and the time; outputs are lists of actions. Nothing
     here reads a clock or a socket.
@@ -25,33 +25,33 @@
     Parameters
     ----------
     term : int
-        How many homes there were, this one included.
+        How many leaders there were, this one included.
     lease_s, stop_s : float
         Length of the leases that are sent, and the longest time that a stop takes. Unit: seconds.
     now : float
-        When this home took over. Unit: seconds.
-    n_advisers : int, default=1
+        When this leader took over. Unit: seconds.
+    n_advice_callers : int, default=1
         Advice calls that may be under way at once.
     grace_period : GracePeriod, default=None
-        What is left of earlier homes; None: what only the term tells.
+        What is left of earlier leaders; None: what only the term tells.
     policy : SchedulingPolicy, default=None
         What it prefers; None: the defaults.
 
     Notes
     -----
-    Starts are not recorded. A new home learns from each worker what runs there before it starts
-    anything on it, and the worker refuses the former home from then on. What no worker lists may
-    still run on one that has not answered yet: a task that an earlier home may have started waits
+    Starts are not recorded. A new leader learns from each worker what runs there before it starts
+    anything on it, and the worker refuses the former leader from then on. What no worker lists may
+    still run on one that has not answered yet: a task that an earlier leader may have started waits
     until all have answered, or until the grace period is over, see `_grace_period`.
     """
 
     def __init__(
-        self, *, term, lease_s, now, stop_s=0.9, n_advisers=1, grace_period=None, policy=None
+        self, *, term, lease_s, now, stop_s=0.9, n_advice_callers=1, grace_period=None, policy=None
     ):
         super().__init__(
             term=term, lease_s=lease_s, stop_s=stop_s, now=now, grace_period=grace_period
         )
-        self.n_advisers = n_advisers
+        self.n_advice_callers = n_advice_callers
         self.policy = policy or SchedulingPolicy()
         self.reservations = Reservations(self.policy)
         self.config = None
@@ -72,7 +72,7 @@
 
     def add_job(self, spec, queue, *, version, now, wall_now, record=None, config_version=0):
         """Take on an accepted job; return False when it is known already."""
-        if self.knows_job(spec.job_id):
+        if self.has_job(spec.job_id):
             return False
         self.jobs[spec.job_id] = JobRun(
             spec=spec,
@@ -89,18 +89,18 @@
         return True
 
     def _newer_queue(self, queue, config_version):
-        """Return a job's queue by the newer of two configurations: this home's and its entry's.
+        """Return a job's queue by the newer of two configurations: this leader's and its entry's.
 
-        An operator moved a queue to another service. A home that had not heard of it yet sent jobs
-        that came after the change, by an entry that had, to workers of the former one.
+        An operator moved a queue to another service. A leader that had not heard of it yet sent
+        jobs that came after the change, by an entry that had, to workers of the former one.
         """
         if self.config is None or self.config.version < config_version:
             return queue
         return self.config.queue_named(queue.name) or queue
 
-    def jobs_read(self, asked_at):
-        """Note that all jobs are known which were accepted before `asked_at`. Unit: seconds."""
-        self._jobs_known_at = asked_at
+    def jobs_read(self, requested_at):
+        """Note that all jobs are known which were accepted before `requested_at`. Unit: seconds."""
+        self._jobs_known_at = requested_at
 
     def cancel_job(self, job_id, now):
         """Cancel a job; return the stops of its runs."""
@@ -184,7 +184,7 @@
     def _may_be_forgotten(self, pending):
         """Whether an end is durable, or of a job that certainly does not exist any more.
 
-        A job may have been accepted while homes changed, and its task be done before this home
+        A job may have been accepted while leaders changed, and its task be done before this leader
         hears of it. Its row was written before the task began, so that a reading of the jobs that
         was begun after the end was told shows it.
         """
@@ -214,11 +214,11 @@
         self.wall_offset_s = wall_now - now
         if now >= self._looked_at + LOOK_S:
             self._looked_at = now
-            actions = self._look_round(now, wall_now)
+            actions = self._run_periodic_checks(now, wall_now)
         actions += self.take_recorded_starts(now)
         return actions + self.hold_unrecorded_starts(plan_starts(self, now, n_wanted), now)
 
-    def _look_round(self, now, wall_now):
+    def _run_periodic_checks(self, now, wall_now):
         """See what falls due by time alone, on any worker and for any job."""
         actions = []
         for job in self.jobs.values():
@@ -227,7 +227,7 @@
                 actions += self._take_up(job, now)
         self.lost_leases(now)
         actions += self.review_suspects(now)
-        return actions + self._move_leaving_runs(now) + self._give_up_sick_runs(now)
+        return actions + self._move_leaving_runs(now) + self._stop_stalled_runs(now)
 
     def _move_leaving_runs(self, now):
         actions = []
@@ -235,17 +235,19 @@
             actions += self._stop(run, now, "worker leaves")
         return actions
 
-    def _give_up_sick_runs(self, now):
+    def _stop_stalled_runs(self, now):
         """Stop runs that stand still or crawl, and keep new work off their workers for a while.
 
         What may have copies keeps the first run: the plan starts a second beside it.
         """
         actions = []
-        sick = find_sick_runs(self, now) if self.policy.judges_runs else []
-        sick_runs = {id(run) for run, _ in sick}
-        for run, why in sick:
+        stalled = find_stalled_runs(self, now) if self.policy.judges_runs else []
+        stalled_runs = {id(run) for run, _ in stalled}
+        for run, why in stalled:
             step, task = self.find_task(run.task)
-            if step.job.is_ended or any(id(other) not in sick_runs for other in task.runs.values()):
+            if step.job.is_ended or any(
+                id(other) not in stalled_runs for other in task.runs.values()
+            ):
                 continue
             task.avoid.add(run.worker.info.worker_id)
             task.n_given_up += 1
@@ -296,7 +298,7 @@
         return self.policy.reserve_share if self.config.has_more_urgent(queue) else 0.0
 
     def may_start(self, job, now):
-        """Whether no earlier home can have a run of the job that nobody has listed yet.
+        """Whether no earlier leader can have a run of the job that nobody has listed yet.
 
         Nor may one whose tasks could not be started for want of their payload.
         """
