--- a/anvilflow/jobs/_trial_book.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -5,7 +5,7 @@
 from ._actions import StartRun
 from ._crash_history import EARLY_CRASH_S, CrashHistory
 from ._job import TaskState
-from ._worker_book import WorkerBook
+from ._worker_tracker import WorkerTracker
 
 #: Time after which a start that is still not durable is cancelled. Unit: seconds.
 MAX_RECORD_WAIT_S = 1.0
@@ -48,28 +48,29 @@
     since: float
 
 
-class TrialBook(WorkerBook):
+class TrialTracker(WorkerTracker):
     """Runs suspect tasks in isolation, so that the next loss can be attributed to one task.
 
-    Base of :class:`CrashBook`, which decides which tasks are failed.
+    Base of :class:`CrashTracker`, which decides which tasks are failed.
 
     Notes
     -----
     `suspects` are the tasks that were running on lost workers, by name. `trials` holds the task
     names of the trial runs by worker; no task of another job is started on these workers. Once a
     loss counts against a task, its next start is made durable before it is sent, so that a new
-    home can count a crash that coincides with the failure of the previous one. `is_store_away`
-    says that nothing can be recorded, `wall_offset_s` is the time of day minus the steady time.
+    leader can count a crash that coincides with the failure of the previous one.
+    `is_store_unavailable` says that nothing can be recorded, `wall_offset_s` is the time of day
+    minus the steady time.
     """
 
     def __init__(self, **values):
         super().__init__(**values)
         self.suspects = {}
         self.trials = {}
-        self.is_store_away = False
+        self.is_store_unavailable = False
         self.wall_offset_s = 0.0
         self._held_starts = []
-        self._has_lost_unheard_worker = False
+        self._has_lost_unconfirmed_worker = False
 
     def _add_suspect(self, step, task):
         """Return the task's entry in `suspects`, adding it if needed; None for an ended task."""
@@ -109,7 +110,7 @@
         history = task.crash_history
         if history is None:
             return True
-        if not history.may_start(now) or (history.is_suspect and self.is_store_away):
+        if not history.may_start(now) or (history.is_suspect and self.is_store_unavailable):
             return False
         job = self.jobs[task.name.split(".", 1)[0]]
         if history.unrecorded_change > job.recorded_change:
@@ -198,7 +199,7 @@
     def must_be_recorded(self, step, task):
         """Whether a start must be durable before it is sent.
 
-        This includes tasks that an earlier home may have started on a worker that never answered
+        This includes tasks that an earlier leader may have started on a worker that never answered
         this one.
         """
         history = task.crash_history
@@ -210,7 +211,7 @@
 
     def _may_miss_runs(self):
         return (
-            self._has_lost_unheard_worker
+            self._has_lost_unconfirmed_worker
             or not self.grace_period.knows_all
             or not all(worker.confirmed for worker in self.workers.values())
         )
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -62,7 +62,7 @@
     return sent_at + lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
 
 
-class Stray:
+class OrphanRun:
     """A run that a worker lists and that has no place here: of a job not known, or out of date.
 
     Parameters
@@ -110,10 +110,10 @@
 
     `percent_clock` and `reported_clock` are the worker's time of the last progress and of the last
     report, None before the first one; `reported_at` is our time of the last report, and
-    `first_percent` the progress that the run began with. `is_whole` says that this home
+    `first_percent` the progress that the run began with. `is_whole` says that this leader
     started it, from nothing: only then its length is that of the task. `is_sent` says that the
     start was sent, `has_begun` that the worker has confirmed the run, `is_adopted` that another
-    home started it, `is_trial` that it is a trial run, see :class:`TrialBook`.
+    leader started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
     """
 
     __slots__ = (
@@ -172,7 +172,7 @@
 
     @property
     def is_fresh(self):
-        """Whether the run had begun, under this home, shortly before it was last listed."""
+        """Whether the run had begun, under this leader, shortly before it was last listed."""
         return self.has_begun and not self.is_adopted and self.survived_s < EARLY_CRASH_S
 
     @property
@@ -182,7 +182,7 @@
 
     def max_age_s(self, now):
         """Upper bound of the run's age when its worker was lost. Unit: seconds."""
-        lost_at = self.worker.silent_at if self.worker.silent else now
+        lost_at = self.worker.unreachable_since if self.worker.unreachable else now
         return max(0.0, lost_at - self.began_at)
 
 
@@ -194,14 +194,15 @@
     Room is counted from the decision to start until the end is listed: what is on its way or being
     stopped still takes its place, since the worker itself may not guard its capacity.
 
-    `runs_known` says that an earlier home named all that may run on a worker that has not answered
-    this one. `in_handover` says that the home's row names what runs here, see `_handover`.
-    `nobody_listens` says that the last call's connection was refused.
+    `runs_known` says that an earlier leader named all that may run on a worker that has not
+    answered this one. `in_handover` says that the leader's row names what runs here, see
+    `_handover`. `connection_refused` says that the last call's connection was refused.
     """
 
     __slots__ = (
         "ack_queue",
         "confirmed",
+        "connection_refused",
         "cpu_free",
         "gpu_free",
         "in_handover",
@@ -212,24 +213,23 @@
         "listed",
         "memory_free",
         "n_bad",
-        "nobody_listens",
+        "orphan_runs",
         "retry_at",
         "runs",
         "runs_known",
-        "silent",
-        "silent_at",
         "slowness",
-        "strays",
+        "unreachable",
+        "unreachable_since",
     )
 
     def __init__(self, *, info, lease_over_at):
         self.info = info
         self.runs = {}
-        self.strays = {}
+        self.orphan_runs = {}
         self.confirmed = False
-        self.silent = False
-        self.silent_at = None
-        self.nobody_listens = False
+        self.unreachable = False
+        self.unreachable_since = None
+        self.connection_refused = False
         self.runs_known = False
         self.in_handover = False
         self.listed = True
@@ -275,7 +275,7 @@
         answer beside them meant a second run of each of its tasks, while the first ones went on.
         """
         is_time_over = self.leaves_at is not None and now > self.leaves_at
-        return is_time_over and self.nobody_listens and not self.listed
+        return is_time_over and self.connection_refused and not self.listed
 
     @property
     def is_leaving(self):
@@ -284,7 +284,7 @@
 
     def is_lapsed(self, now):
         """Whether the worker is unreachable and all leases that it was sent have expired."""
-        return now >= self.lease_over_at and (self.silent or not self.listed)
+        return now >= self.lease_over_at and (self.unreachable or not self.listed)
 
     def add_run(self, run):
         """Count a run's room."""
@@ -325,8 +325,8 @@
             self.confirmed
             and not self.in_handover
             and self.listed
-            and not self.silent
-            and not self.strays
+            and not self.unreachable
+            and not self.orphan_runs
             and not self.info.draining
             and now >= self.retry_at
         )
--- a/anvilflow/jobs/_worker_book.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -9,19 +9,19 @@
 _NEVER = float("inf")
 
 
-class WorkerBook:
+class WorkerTracker:
     """The workers and the runs that take their room.
 
-    Base of :class:`TrialBook`, which isolates tasks that may crash workers.
+    Base of :class:`TrialTracker`, which isolates tasks that may crash workers.
 
     Parameters
     ----------
     term : int
     lease_s, stop_s, now : float
-        Length of the leases, longest time that a stop takes, and when this home took over. Unit:
+        Length of the leases, longest time that a stop takes, and when this leader took over. Unit:
         seconds.
     grace_period : GracePeriod, default=None
-        What is left of earlier homes; None: what only the term tells.
+        What is left of earlier leaders; None: what only the term tells.
 
     Notes
     -----
@@ -57,7 +57,7 @@
         worker = self.workers.get(info.worker_id)
         is_new = worker is None
         if is_new:
-            worker = Worker(info=info, lease_over_at=self._unheard_lease_over_at())
+            worker = Worker(info=info, lease_over_at=self._unconfirmed_lease_over_at())
             self.workers[info.worker_id] = worker
             self.grace_period.worker_found(info.worker_id)
             worker.in_handover = info.worker_id in self.nameless
@@ -68,18 +68,18 @@
         worker.note_leaving(now)
         return is_new
 
-    def _unheard_lease_over_at(self):
+    def _unconfirmed_lease_over_at(self):
         over_at = self.grace_period.leases_over_at
         return _NEVER if over_at is None else over_at
 
-    def _bound_unheard_leases(self):
-        """All leases of earlier homes have an end now: those of unheard workers, too."""
+    def _bound_unconfirmed_leases(self):
+        """All leases of earlier leaders have an end now: those of unheard workers, too."""
         for worker in self.workers.values():
             if not worker.confirmed:
                 worker.lease_over_at = self.grace_period.leases_over_at
 
-    def _hear(self, worker, now):
-        """Note that a worker has answered this home: it refuses every earlier one from now on."""
+    def _confirm_worker(self, worker, now):
+        """Note that a worker has answered this leader: it refuses every earlier one from now on."""
         if worker.confirmed:
             return
         worker.confirmed = True
@@ -88,7 +88,7 @@
         worker.lease_over_at = lease_end(now, self.lease_s)
         n_heard = sum(each.confirmed for each in self.workers.values())
         if self.grace_period.heard(n_heard, len(self.workers), now):
-            self._bound_unheard_leases()
+            self._bound_unconfirmed_leases()
 
     def worker_unlisted(self, worker_id):
         """A worker is no longer on the list: it gets no new work, what runs there runs on."""
@@ -96,18 +96,18 @@
         if worker is not None:
             worker.listed = False
 
-    def worker_silent(self, worker_id, now, *, nobody_listens=False):
+    def worker_unreachable(self, worker_id, now, *, connection_refused=False):
         """Calls to a worker fail: it gets no new work until it answers."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        worker.nobody_listens = nobody_listens
-        if not worker.silent:
-            worker.silent = True
-            worker.silent_at = now
+        worker.connection_refused = connection_refused
+        if not worker.unreachable:
+            worker.unreachable = True
+            worker.unreachable_since = now
 
     def note_handover(self, worker_ids):
-        """Note which workers the home's row names, now that it is durable."""
+        """Note which workers the leader's row names, now that it is durable."""
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
                 self.needs_whole_plan = True
@@ -115,7 +115,7 @@
 
     # Runs
 
-    def knows_job(self, job_id):
+    def has_job(self, job_id):
         """Whether a job has been heard of, also when it has ended."""
         return job_id in self.jobs or job_id in self.ended
 
@@ -151,20 +151,20 @@
         run.worker.remove_run(run)
         self.freed.add(run.worker.info.worker_id)
 
-    def _take_stray(self, step, task, now):
+    def _take_orphan_run(self, step, task, now):
         """Count a run that had no place here as the task's own, now that no other is left.
 
         It works, or is being stopped: a second one must not begin before it is over. Returns
         whether there is such a run.
         """
         for worker in self.workers.values():
-            for name, run_id in list(worker.strays):
+            for name, run_id in list(worker.orphan_runs):
                 if name != task.name:
                     continue
-                stray = worker.strays.pop((name, run_id))
+                orphan = worker.orphan_runs.pop((name, run_id))
                 run = self._make_run(worker, step, task, run_id, now)
                 run.is_adopted = True
-                run.state = "barred" if stray.stopped else "running"
+                run.state = "barred" if orphan.stopped else "running"
                 return True
         return False
 
@@ -180,7 +180,7 @@
 
     def _wait_again(self, step, task, now):
         if task.state is not TaskState.DONE and not task.runs:
-            if self._take_stray(step, task, now):
+            if self._take_orphan_run(step, task, now):
                 return
             if task.state is TaskState.RUNNING:
                 task.waiting_since = now
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -6,8 +6,8 @@
 
 from anvilflow.jobs import (
     CrashHistory,
-    Fate,
     JobState,
+    LossOutcome,
     LostRun,
     NoteCrashingTask,
     NoteLostWorker,
@@ -47,17 +47,17 @@
 def _crash(scheduler, worker_id, now):
     """Replace a worker by another incarnation at its address; return the actions."""
     address = scheduler.workers[worker_id].info.address
-    scheduler.worker_silent(worker_id, now)
+    scheduler.worker_unreachable(worker_id, now)
     actions = scheduler.worker_ended(worker_id, now, is_replaced=True)
     successor = f"w{next(_numbers)}"
     scheduler.worker_listed(make_worker_info(0, worker_id=successor, address=address), now)
-    scheduler.report(successor, make_report(), asked_at=now, now=now)
+    scheduler.report(successor, make_report(), requested_at=now, now=now)
     return actions
 
 
 def _list_run(scheduler, start, now):
     active = RunReport(task=start.task, run_id=start.run_id, checkpoint="", percent=1.0, load=0.0)
-    scheduler.report(start.worker_id, make_report([active], clock_s=now), asked_at=now, now=now)
+    scheduler.report(start.worker_id, make_report([active], clock_s=now), requested_at=now, now=now)
 
 
 def _list_worker_runs(scheduler, start, starts, now):
@@ -67,7 +67,7 @@
         for each in starts
         if each.worker_id == start.worker_id
     ]
-    scheduler.report(start.worker_id, make_report(active, clock_s=now), asked_at=now, now=now)
+    scheduler.report(start.worker_id, make_report(active, clock_s=now), requested_at=now, now=now)
 
 
 def _state(scheduler, job_id=JOB):
@@ -98,10 +98,10 @@
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
-    scheduler.worker_silent(start.worker_id, 0.1)
+    scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.worker_ended(start.worker_id, 4.0, is_replaced=is_confirmed)
     [start] = _plan(scheduler, 4.5)
-    scheduler.worker_silent(start.worker_id, 4.6)
+    scheduler.worker_unreachable(start.worker_id, 4.6)
     scheduler.worker_ended(start.worker_id, 8.0, is_replaced=is_confirmed)
     assert (_state(scheduler) is JobState.FAILED) is is_confirmed
 
@@ -111,10 +111,10 @@
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
-    scheduler.worker_silent(start.worker_id, 0.1)
+    scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.lost_leases(9.0)
     assert list(scheduler.suspects) == [TASK]
-    scheduler.report(start.worker_id, make_report(), asked_at=9.5, now=9.5)
+    scheduler.report(start.worker_id, make_report(), requested_at=9.5, now=9.5)
     scheduler.review_suspects(9.6)
     assert not scheduler.suspects
 
@@ -260,7 +260,7 @@
 
 
 def test_start_of_a_suspect_waits_until_it_is_durable():
-    """Guards against a crash that the next home cannot count."""
+    """Guards against a crash that the next leader cannot count."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
@@ -268,7 +268,7 @@
     assert scheduler.plan(0.5, 0.5) == []
     job = scheduler.jobs[JOB]
     [lost, placed] = job.to_record().lost_runs["0.0.0"]
-    assert (lost.fate, placed.fate) == (Fate.CRASHED, Fate.PLACED)
+    assert (lost.fate, placed.fate) == (LossOutcome.CRASHED, LossOutcome.PLACED)
     scheduler.recorded(JOB, job.change, 0.6)
     [start] = scheduler.plan(0.6, 0.6)
     assert start.worker_id == placed.worker_id
@@ -288,14 +288,14 @@
     assert len(_plan(scheduler, 3.2)) == 1
 
 
-def _lost(number, fate=Fate.CRASHED, **values):
+def _lost(number, fate=LossOutcome.CRASHED, **values):
     return LostRun(
         worker_id=f"w{number}", address=f"w{number}:1", run_id=number, fate=fate, **values
     )
 
 
 @pytest.mark.parametrize(("taken_over_at", "state"), [(1.0, "failed"), (5.0, "running")])
-def test_next_home_counts_an_early_crash_only_under_a_recent_start(taken_over_at, state):
+def test_next_leader_counts_an_early_crash_only_under_a_recent_start(taken_over_at, state):
     """Guards against losing the crash count on a takeover and failing a job for a late crash."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -308,14 +308,14 @@
     scheduler.add_job(job.spec, job.queue, version=1, now=now, wall_now=now, record=job.to_record())
     address = former.workers[start.worker_id].info.address
     scheduler.worker_listed(make_worker_info(0, worker_id="w99", address=address), now)
-    scheduler.report("w99", make_report(), asked_at=now, now=now)
+    scheduler.report("w99", make_report(), requested_at=now, now=now)
     actions = scheduler.plan(now + 0.5, now + 0.5)
     assert _state(scheduler) == state
     is_failed = NoteCrashingTask in {type(action) for action in actions}
     assert is_failed is (state == "failed")
 
 
-def test_recorded_start_that_no_worker_confirmed_is_no_evidence_for_the_next_home():
+def test_recorded_start_that_no_worker_confirmed_is_no_evidence_for_the_next_leader():
     """Guards against blaming a task for a worker that had failed before the start reached it."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -329,7 +329,7 @@
     scheduler.add_job(job.spec, job.queue, version=1, now=1.0, wall_now=1.0, record=job.to_record())
     address = former.workers[start.worker_id].info.address
     scheduler.worker_listed(make_worker_info(0, worker_id="w99", address=address), 1.0)
-    scheduler.report("w99", make_report(), asked_at=1.0, now=1.0)
+    scheduler.report("w99", make_report(), requested_at=1.0, now=1.0)
     scheduler.plan(1.5, 1.5)
     assert _state(scheduler) is JobState.RUNNING
 
@@ -344,17 +344,19 @@
     [start] = _plan(scheduler, 0.5)
     idle = [name for name, worker in scheduler.workers.items() if not worker.runs]
     for worker_id in idle[:n_others]:
-        scheduler.worker_silent(worker_id, 0.9)
+        scheduler.worker_unreachable(worker_id, 0.9)
     _crash(scheduler, start.worker_id, 0.6)
     assert (_state(scheduler) is JobState.FAILED) is (n_others == 0)
 
 
 def test_unconfirmed_losses_limit_the_starts():
     """Guards against endless restarts when no crash is ever confirmed."""
-    history = CrashHistory(lost_runs=[_lost(number, Fate.GONE) for number in range(4)])
+    history = CrashHistory(lost_runs=[_lost(number, LossOutcome.GONE) for number in range(4)])
     assert not history.crashes_workers
     assert not history.may_start(1e6)
-    assert CrashHistory(lost_runs=[_lost(number, Fate.GONE) for number in range(3)]).may_start(1e6)
+    assert CrashHistory(
+        lost_runs=[_lost(number, LossOutcome.GONE) for number in range(3)]
+    ).may_start(1e6)
 
 
 def test_task_is_the_cause_after_four_late_crashes():
@@ -372,6 +374,6 @@
 
 def test_next_start_waits_for_the_fate_of_the_last_worker():
     """Guards against a third start before the second crash is confirmed."""
-    history = CrashHistory(lost_runs=[_lost(0), _lost(1, Fate.UNKNOWN)], now=10.0)
+    history = CrashHistory(lost_runs=[_lost(0), _lost(1, LossOutcome.UNKNOWN)], now=10.0)
     assert not history.may_start(15.0)
     assert history.may_start(18.0)
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -10,7 +10,7 @@
     StartRun,
     StepSpec,
     StopRun,
-    _sickness,
+    _stalled_runs,
 )
 
 from .test_scheduler import QUEUE, add_job, answer_started, item, make_report, make_scheduler
@@ -21,7 +21,7 @@
     actions = []
     for start, percent in percents:
         report = make_report([item(start, percent)], clock_s=now if clock_s is None else clock_s)
-        actions += scheduler.report(start.worker_id, report, asked_at=now, now=now)
+        actions += scheduler.report(start.worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
 
 
@@ -86,10 +86,10 @@
 def test_resumed_run_that_reads_its_checkpoint_does_not_stand_still(monkeypatch, safeguard):
     """A run that was moved shows no progress for 0.6 s; stopped for it, it would never end."""
     if not safeguard:
-        monkeypatch.setattr(_sickness, "RESTORE_S", 0.0)
+        monkeypatch.setattr(_stalled_runs, "RESTORE_S", 0.0)
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=2.0, checkpointing=True)
-    scheduler.worker_silent("w0", 0.0)
+    scheduler.worker_unreachable("w0", 0.0)
     [start] = add_job(scheduler, step)
     _, task = scheduler.find_task(start.task)
     run = task.runs[start.worker_id]
@@ -119,7 +119,7 @@
         if stops(actions):
             scheduler.stop_answered(start.worker_id, start.task, start.run_id, now)
             report = make_report(clock_s=now + 0.1)
-            scheduler.report(start.worker_id, report, asked_at=now + 0.1, now=now + 0.1)
+            scheduler.report(start.worker_id, report, requested_at=now + 0.1, now=now + 0.1)
             actions = scheduler.plan(now + 0.2, now + 0.2)
         for action in actions:
             if isinstance(action, StartRun):
@@ -145,10 +145,10 @@
 
 @pytest.mark.parametrize("kind", ["taken on", "resumed"])
 def test_what_is_left_of_a_run_is_not_taken_for_a_whole_one(kind):
-    """A home takes runs on that are nearly done, and one of them ends a moment later.
+    """A leader takes runs on that are nearly done, and one of them ends a moment later.
 
     Its length here, 0.1 s, is no measure for its siblings. Taken for one, it made all of them look
-    slow after each change of homes, and they were stopped again and again.
+    slow after each change of leaders, and they were stopped again and again.
     """
     scheduler = make_scheduler(n_workers=5)
     step = StepSpec(n_tasks=5, cpu_milli=1000, estimate_s=4.0, max_per_worker=1)
@@ -160,20 +160,20 @@
         run.is_whole = False
         run.resumes = kind == "resumed"
         end = RunEnd(number=1, task=start.task, run_id=1, how="done", checkpoint="")
-        scheduler.report(start.worker_id, make_report(ended=[end]), asked_at=0.1, now=0.1)
+        scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=0.1, now=0.1)
     assert report_all(scheduler, [(first, 5), (second, 5)], 0.3) == []
     assert report_all(scheduler, [(first, 12), (second, 12)], 0.7) == []
 
 
 def test_run_that_is_taken_on_or_resumes_is_no_whole_one():
-    """Only a run that this home started from nothing has its whole length measured."""
+    """Only a run that this leader started from nothing has its whole length measured."""
     scheduler = make_scheduler()
     spec = JobSpec(
         job_id="00000000000000a1", queue="q", payload="", steps=(StepSpec(n_tasks=2, cpu_milli=1),)
     )
     scheduler.add_job(spec, QUEUE, version=1, now=0.0, wall_now=0.0)
     listed = RunReport(task="00000000000000a1.0.0.0", run_id=1, checkpoint="", percent=90, load=0.0)
-    scheduler.report("w0", make_report([listed]), asked_at=0.1, now=0.1)
+    scheduler.report("w0", make_report([listed]), requested_at=0.1, now=0.1)
     _, task = scheduler.find_task("00000000000000a1.0.0.1")
     task.checkpoint = "c"
     scheduler.plan(0.2, 0.2)
@@ -185,7 +185,7 @@
 def test_worker_that_fails_for_very_long_goes_on_resting():
     """A worker fails all that it is given, some 1,100 tasks in a row.
 
-    Its rest is doubled each time; the power outgrew a float, and the home ended with an
+    Its rest is doubled each time; the power outgrew a float, and the leader ended with an
     OverflowError at the next end, as did each one after it that saw as many.
     """
     scheduler = make_scheduler(n_workers=1)
--- a/anvilflow/jobs/tests/test_two_places.py
+++ b/anvilflow/jobs/tests/test_two_places.py
@@ -16,7 +16,7 @@
 def _hear(scheduler, worker_id, now, *, active=(), ended=()):
     """Let a worker report; return what follows, with the next plan."""
     report = make_report(active, ended, clock_s=now)
-    actions = scheduler.report(worker_id, report, asked_at=now, now=now)
+    actions = scheduler.report(worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
 
 
@@ -25,25 +25,25 @@
 
 
 def _scheduler_with_a_stale_run():
-    """A former home named a run of the task on a worker; by now a later one is on another."""
+    """A former leader named a run of the task on a worker; by now a later one is on another."""
     scheduler = make_scheduler(3)
     add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=20_000))
     task = scheduler.jobs["00000000000000a1"].steps[0, 0].tasks[0]
     scheduler.jobs["00000000000000a1"].steps[0, 0].spec = StepSpec(n_tasks=1, cpu_milli=1_000)
-    scheduler.take_on_unheard("w0", [(TASK, 1)], 0.1)
+    scheduler.adopt_unconfirmed_runs("w0", [(TASK, 1)], 0.1)
     assert [run.run_id for run in task.runs.values()] == [1]
     return scheduler
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_waits_for_a_run_that_is_being_stopped_elsewhere(monkeypatch, safeguard):
-    """The home names a run on a worker that is dark, and loses the store before it is over.
+    """The leader names a run on a worker that is dark, and loses the store before it is over.
 
-    It starts the task again on a second worker. The next home knows the first run alone, has the
+    It starts the task again on a second worker. The next leader knows the first run alone, has the
     second one stopped, hears that the first one is over, and started a third beside the second.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_take_stray", lambda self, step, task, now: False)
+        monkeypatch.setattr(Scheduler, "_take_orphan_run", lambda self, step, task, now: False)
     scheduler = _scheduler_with_a_stale_run()
     [stop] = _hear(scheduler, "w1", 0.5, active=[_active(2)])
     assert isinstance(stop, StopRun) and stop.worker_id == "w1"
@@ -72,6 +72,6 @@
     _hear(scheduler, "w1", 0.5, active=[_active(2)])
     scheduler.workers["w1"].lease_sent(0.5, 3.0)
     _hear(scheduler, "w0", 0.7)
-    scheduler.worker_silent("w1", 0.8)
+    scheduler.worker_unreachable("w1", 0.8)
     assert _starts(scheduler.plan(3.0, 3.0)) == []
     assert len(_starts(scheduler.plan(4.0, 4.0))) == 1
--- a/anvilflow/parts/_daemon.py
+++ b/anvilflow/parts/_daemon.py
@@ -14,9 +14,9 @@
 from ..runtime import Bus, ReactorNetwork, Supervisor
 from ._config import ConfigPart
 from ._context import Context
-from ._entry import EntryPart
+from ._coordinator import CoordinatorPart
 from ._events import LeavingChanged
-from ._home import HomePart
+from ._gateway import GatewayPart
 from ._members import MembersPart
 from ._operators import OperatorsPart
 from ._owner import OwnerPart
@@ -56,9 +56,9 @@
         self.supervisor.add("peers", lambda: PeersPart(context=context))
         self.supervisor.add("config", lambda: ConfigPart(context=context))
         self.supervisor.add("owner", lambda: OwnerPart(context=context))
-        self.supervisor.add("home", lambda: HomePart(context=context))
+        self.supervisor.add("home", lambda: CoordinatorPart(context=context))
         self.supervisor.add("members", lambda: MembersPart(context=context))
-        self.supervisor.add("entry", lambda: EntryPart(context=context))
+        self.supervisor.add("entry", lambda: GatewayPart(context=context))
         self.supervisor.add("operators", lambda: OperatorsPart(context=context, dump_all=self.dump))
         self.supervisor.start()
 
@@ -85,8 +85,8 @@
         """Hand over, finish what is in progress, and stop.
 
         First the health check fails and the peers are told, so that nothing new is sent here;
-        workers and homes go to others. What is in progress is then awaited, for as long as the
-        setting says.
+        workers and coordinators go to others. What is in progress is then awaited, for as long as
+        the setting says.
         """
         context = self.context
         if context.leaving:
--- a/anvilflow/parts/_entry.py
+++ b/anvilflow/parts/_gateway.py
@@ -25,8 +25,8 @@
 from ..runtime import Part
 from ..utils import decode, decode_lenient, to_builtins
 from ._calls import JobCall, RequestAnswer, RequestCall, not_run_answer, unknown_answer
+from ._coordinator import coordinator_key
 from ._events import PeerDown
-from ._home import home_key
 from ._http_api import (
     LimitedSite,
     answer_json,
@@ -68,7 +68,7 @@
         self.answer = Deferred()
 
 
-class EntryPart(Part):
+class GatewayPart(Part):
     """Serves callers.
 
     A request is sent to one owner at a time. The answer is matched by the attempt's identity,
@@ -315,7 +315,7 @@
         written = yield self.context.resources.write(
             f"Job/{job.customer}/{job.name}", job, expected=0, check=same
         )
-        self.context.changes.hurry()
+        self.context.changes.trigger()
         return written
 
     def _check_fits(self, job):
@@ -380,18 +380,18 @@
         written = yield self.context.resources.write(
             f"Job/{customer}/{name}", None, check=cancelling
         )
-        self.context.changes.hurry()
+        self.context.changes.trigger()
         return written
 
     @inlineCallbacks
     def _ask_status(self, customer, name):
-        home = choose_owner(self.context.live, home_key(customer))
+        coordinator = choose_owner(self.context.live, coordinator_key(customer))
         self._n_calls += 1
         call = self._n_calls
         answer = Deferred()
         self._status_calls[call] = answer
-        if home is None or not self.context.send(
-            home, StatusAsk(call=call, topic="job", key=f"{customer}/{name}")
+        if coordinator is None or not self.context.send(
+            coordinator, StatusAsk(call=call, topic="job", key=f"{customer}/{name}")
         ):
             self._status_calls.pop(call)
             return None
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -12,11 +12,11 @@
     HoldRevoked,
     LeaseClock,
     Outcome,
-    OwnerBook,
+    OwnerScheduler,
     Refuse,
     RefuseReason,
     Request,
-    Room,
+    WorkerAllocation,
     choose_owner,
 )
 from ..exceptions import NotFoundError, WorkerRefusedError, WorkerUnreachableError
@@ -67,6 +67,7 @@
     """One worker under this owner, in one epoch."""
 
     __slots__ = (
+        "allocation",
         "bars",
         "client",
         "clock",
@@ -78,7 +79,6 @@
         "n_failed",
         "overdue",
         "renewed_at",
-        "room",
         "starting",
         "ticker",
     )
@@ -87,7 +87,7 @@
         self.member = member
         self.client = client
         self.clock = None
-        self.room = None
+        self.allocation = None
         self.ticker = None
         self.n_failed = 0
         self.renewed_at = -_LONG_AGO_S
@@ -112,12 +112,12 @@
 
     def __init__(self, *, context):
         super().__init__(context=context)
-        self._book = OwnerBook(hold_s=context.settings.timing.hold_s)
+        self._scheduler = OwnerScheduler(hold_s=context.settings.timing.hold_s)
         self._owned = {}
         self._claiming = set()
         self._origins = {}
         self._arrived = {}
-        self._hold_homes = {}
+        self._hold_coordinators = {}
         self._stopped = False
         self._actions = deque()
         self._acting = False
@@ -128,9 +128,9 @@
         return len(self._origins)
 
     @property
-    def book(self):
+    def scheduler(self):
         """Queues and accounts."""
-        return self._book
+        return self._scheduler
 
     def start(self):
         """Take messages and claim workers."""
@@ -160,17 +160,17 @@
 
     def dump(self):
         """Return queues and workers."""
-        book = self._book
+        scheduler = self._scheduler
         return {
-            "queued": book.n_queued,
-            "running": book.n_running,
-            "holds_queued": book.n_holds_queued,
-            "tasks": book.n_tasks,
+            "queued": scheduler.n_queued,
+            "running": scheduler.n_running,
+            "holds_queued": scheduler.n_holds_queued,
+            "tasks": scheduler.n_tasks,
             "workers": {
                 name: {
                     "epoch": owned.client.epoch,
                     "failed_syncs": owned.n_failed,
-                    "free": list(owned.room.free) if owned.room else None,
+                    "free": list(owned.allocation.free) if owned.allocation else None,
                 }
                 for name, owned in self._owned.items()
             },
@@ -226,7 +226,7 @@
         """Start from what the worker itself says that runs there."""
         owned = _Owned(member=member, client=client)
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
-        owned.room = Room(
+        owned.allocation = WorkerAllocation(
             worker=member.name,
             capacity=report.capacity,
             rack=member.rack,
@@ -234,8 +234,8 @@
         )
         owned.foreign = {request_id for request_id, _ in report.requests}
         self._owned[member.name] = owned
-        out = self._book.add_worker(
-            owned.room,
+        out = self._scheduler.add_worker(
+            owned.allocation,
             self.now,
             tasks=report.tasks,
             requests=report.requests,
@@ -250,14 +250,14 @@
         if owned is None:
             return
         owned.ticker.stop()
-        self._act(self._book.remove_worker(name))
+        self._act(self._scheduler.remove_worker(name))
         self.log.info("Worker {} given up.", name)
 
     def _close_leaving(self):
         """Give no new work to workers that leave: their room is taken out of the book."""
         for name in self._owned:
             if self._is_leaving(name):
-                self._act(self._book.close_worker(name))
+                self._act(self._scheduler.close_worker(name))
 
     def _is_leaving(self, name):
         member = self.context.workers.get(name)
@@ -272,7 +272,7 @@
         """
         timing = self.context.settings.timing
         followed = owned.bars or owned.overdue or owned.foreign or owned.forget or owned.ended
-        if followed or owned.n_failed or self._book.tasks_on(owned.member.name):
+        if followed or owned.n_failed or self._scheduler.tasks_on(owned.member.name):
             return timing.worker_sync_s
         return timing.idle_sync_s
 
@@ -285,7 +285,7 @@
         sent = self.now
         until = owned.clock.until(sent, settings.lease.task_s)
         renews = sent - owned.renewed_at >= settings.lease.task_s / _RENEWALS_PER_LEASE
-        started = self._book.tasks_on(name)
+        started = self._scheduler.tasks_on(name)
         settled = {hold_id for hold_id in started if hold_id not in owned.starting}
         bars = set(owned.bars)
         forget = set(owned.forget)
@@ -306,7 +306,7 @@
             return
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
         if owned.n_failed >= _SILENT_SYNCS and not self._is_leaving(name):
-            self._act(self._book.reopen_worker(name, self.now))
+            self._act(self._scheduler.reopen_worker(name, self.now))
         if renews:
             owned.renewed_at = sent
         owned.n_failed = 0
@@ -318,7 +318,7 @@
         owned.n_failed += 1
         if owned.n_failed == _SILENT_SYNCS:
             self.log.warning("Worker {} is silent: {}.", owned.member.name, exc)
-            self._act(self._book.close_worker(owned.member.name))
+            self._act(self._scheduler.close_worker(owned.member.name))
 
     def _sync_refused(self, owned, exc):
         """The worker has another owner, came back without memory, or is not there any more."""
@@ -341,8 +341,8 @@
                 continue
             owned.missing.discard(hold_id)
             owned.ended[hold_id] = task
-            self._act(self._book.task_ended(hold_id, now))
-            self._tell_home(hold_id, "ended", ok=task.ok, result=task.result)
+            self._act(self._scheduler.task_ended(hold_id, now))
+            self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
         for hold_id in settled - running - set(ended):
             if hold_id in bars:
                 # The worker has confirmed that it does not run and that it never will.
@@ -352,16 +352,16 @@
         for hold_id in bars - settled:
             if hold_id not in running:
                 owned.bars.discard(hold_id)
-                self._tell_home(hold_id, "lost")
+                self._notify_coordinator(hold_id, "lost")
         for request_id in gone_candidates - set(report.requests):
             owned.foreign.discard(request_id)
             owned.overdue.pop(request_id, None)
-            self._act(self._book.release_foreign(name, request_id, now))
+            self._act(self._scheduler.release_foreign(name, request_id, now))
 
     def _lost(self, owned, hold_id):
         owned.bars.discard(hold_id)
-        self._act(self._book.task_ended(hold_id, self.now))
-        self._tell_home(hold_id, "lost")
+        self._act(self._scheduler.task_ended(hold_id, self.now))
+        self._notify_coordinator(hold_id, "lost")
 
     # Requests
 
@@ -392,10 +392,10 @@
         )
         self._origins[body.request_id] = (source, body.payload)
         self._arrived[body.request_id] = now
-        self._act(self._book.submit(request, now))
+        self._act(self._scheduler.submit(request, now))
 
     def _cancel(self, source, body):
-        if self._book.cancel(body.request_id):
+        if self._scheduler.cancel(body.request_id):
             self._end_request(
                 body.request_id, Outcome.NOT_RUN, code="AF302", reason=RefuseReason.CANCELLED
             )
@@ -442,9 +442,9 @@
             run_time=run_time or 0.0,
         )
         if outcome is Outcome.UNKNOWN:
-            self._act(self._book.overdue(request.request_id))
+            self._act(self._scheduler.overdue(request.request_id))
         else:
-            self._act(self._book.finished(request.request_id, self.now, run_time=run_time))
+            self._act(self._scheduler.finished(request.request_id, self.now, run_time=run_time))
 
     def _end_request(self, request_id, outcome, **values):
         source, _ = self._origins.pop(request_id)
@@ -495,19 +495,19 @@
             gang=body.gang,
             weight=customer.priority,
         )
-        self._hold_homes[body.hold_id] = source
-        self._act(self._book.ask_hold(hold, self.now))
+        self._hold_coordinators[body.hold_id] = source
+        self._act(self._scheduler.ask_hold(hold, self.now))
 
     def _hold_release(self, _, body):
-        self._hold_homes.pop(body.hold_id, None)
-        self._act(self._book.release_hold(body.hold_id, self.now))
+        self._hold_coordinators.pop(body.hold_id, None)
+        self._act(self._scheduler.release_hold(body.hold_id, self.now))
 
     def _task_start(self, source, body):
-        worker = self._book.start(body.hold_id)
+        worker = self._scheduler.start(body.hold_id)
         if worker is None:
             self.context.send(source, _task_answer(body.hold_id, "lost"))
             return
-        self._hold_homes[body.hold_id] = source
+        self._hold_coordinators[body.hold_id] = source
         self.context.metrics.placements.labels("task").inc()
         self._start_on(self._owned[worker], body).addErrback(self.fail_with)
 
@@ -527,8 +527,8 @@
                 payload=body.payload,
             )
         except WorkerRefusedError:
-            self._act(self._book.task_ended(hold_id, self.now))
-            self._tell_home(hold_id, "lost")
+            self._act(self._scheduler.task_ended(hold_id, self.now))
+            self._notify_coordinator(hold_id, "lost")
         except WorkerUnreachableError as exc:
             # It may have started. The next reports tell; until then its place stays taken.
             self.log.info("Start of {} unanswered: {}.", hold_id, exc)
@@ -539,12 +539,12 @@
         owned = self._owned.get(body.worker)
         if owned is None:
             return
-        self._hold_homes[body.hold_id] = source
-        self._act(self._book.release_hold(body.hold_id, self.now))
+        self._hold_coordinators[body.hold_id] = source
+        self._act(self._scheduler.release_hold(body.hold_id, self.now))
         if body.hold_id in owned.ended:
             return
         owned.bars.add(body.hold_id)
-        owned.ticker.hurry()
+        owned.ticker.trigger()
 
     def _task_query(self, source, body):
         """Say what became of attempts; only the worker's present owner can.
@@ -557,32 +557,32 @@
         if owned is None:
             return
         for hold_id in body.hold_ids:
-            self._hold_homes[hold_id] = source
+            self._hold_coordinators[hold_id] = source
             if hold_id in owned.ended:
                 task = owned.ended[hold_id]
-                self._tell_home(hold_id, "ended", ok=task.ok, result=task.result)
-            elif self._book.worker_of(hold_id) is None:
-                self._act(self._book.release_hold(hold_id, self.now))
+                self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
+            elif self._scheduler.worker_of(hold_id) is None:
+                self._act(self._scheduler.release_hold(hold_id, self.now))
                 owned.bars.add(hold_id)
-                owned.ticker.hurry()
+                owned.ticker.trigger()
 
     def _task_acknowledge(self, _, body):
-        self._hold_homes.pop(body.hold_id, None)
+        self._hold_coordinators.pop(body.hold_id, None)
         for owned in self._owned.values():
             if owned.ended.pop(body.hold_id, None) is not None:
                 owned.forget.add(body.hold_id)
 
-    def _tell_home(self, hold_id, verdict, *, ok=False, result=""):
-        home = self._hold_homes.get(hold_id)
+    def _notify_coordinator(self, hold_id, verdict, *, ok=False, result=""):
+        coordinator = self._hold_coordinators.get(hold_id)
         customer = hold_id.split("/", 1)[0]
-        home = choose_owner(self.context.live, f"home/{customer}") or home
-        if home is not None:
-            self.context.send(home, _task_answer(hold_id, verdict, ok=ok, result=result))
+        coordinator = choose_owner(self.context.live, f"home/{customer}") or coordinator
+        if coordinator is not None:
+            self.context.send(coordinator, _task_answer(hold_id, verdict, ok=ok, result=result))
 
-    def _answer_hold(self, home, hold_id, verdict, *, worker="", reason=""):
-        if home is not None:
+    def _answer_hold(self, coordinator, hold_id, verdict, *, worker="", reason=""):
+        if coordinator is not None:
             self.context.send(
-                home,
+                coordinator,
                 HoldAnswer(hold_id=hold_id, verdict=verdict, worker=worker, reason=str(reason)),
             )
 
@@ -618,22 +618,22 @@
                     retry_after=message.retry_after,
                 )
             case HoldGranted(hold=hold, worker=worker):
-                home = self._hold_homes.get(hold.hold_id)
-                self._answer_hold(home, hold.hold_id, "granted", worker=worker)
+                coordinator = self._hold_coordinators.get(hold.hold_id)
+                self._answer_hold(coordinator, hold.hold_id, "granted", worker=worker)
             case HoldRefused(hold=hold, reason=reason):
-                home = self._hold_homes.pop(hold.hold_id, None)
-                self._answer_hold(home, hold.hold_id, "refused", reason=reason)
+                coordinator = self._hold_coordinators.pop(hold.hold_id, None)
+                self._answer_hold(coordinator, hold.hold_id, "refused", reason=reason)
             case HoldRevoked(hold=hold):
-                home = self._hold_homes.pop(hold.hold_id, None)
-                self._answer_hold(home, hold.hold_id, "refused", reason=RefuseReason.EXPIRED)
+                coordinator = self._hold_coordinators.pop(hold.hold_id, None)
+                self._answer_hold(coordinator, hold.hold_id, "refused", reason=RefuseReason.EXPIRED)
 
     def _sweep_period(self):
-        book = self._book
-        waits = book.n_queued or book.n_holds_queued or book.n_held
+        scheduler = self._scheduler
+        waits = scheduler.n_queued or scheduler.n_holds_queued or scheduler.n_held
         return _SWEEP_S if waits else _IDLE_SWEEP_S
 
     def _sweep(self):
-        self._act(self._book.tick(self.now))
+        self._act(self._scheduler.tick(self.now))
 
     def _catalog_changed(self, _, __):
         catalog = self.context.catalog
@@ -643,18 +643,18 @@
             if isinstance(policy.rules, ServicePolicy)
         ]
         if reserves:
-            self._act(self._book.set_reserve(max(reserves), self.now))
+            self._act(self._scheduler.set_reserve(max(reserves), self.now))
 
     def _tell_digest(self):
-        book = self._book
-        rooms = book.rooms.open_rooms()
-        shapes = {room.capacity for room in rooms}
+        scheduler = self._scheduler
+        allocations = scheduler.allocations.open_allocations()
+        shapes = {allocation.capacity for allocation in allocations}
         digest = Digest(
-            n_workers=len(rooms),
-            free_service_slots=book.free_service_slots,
-            free_task_slots=book.free_task_slots,
-            n_queued=book.n_queued,
-            n_holds_queued=book.n_holds_queued,
+            n_workers=len(allocations),
+            free_service_slots=scheduler.free_service_slots,
+            free_task_slots=scheduler.free_task_slots,
+            n_queued=scheduler.n_queued,
+            n_holds_queued=scheduler.n_holds_queued,
             shapes=[
                 Shape(
                     cpu_milli=shape.cpu_milli,
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -3,10 +3,10 @@
 import pytest
 
 from anvilflow.clients import Condition, Write
-from anvilflow.decisions import LeaseClock, OwnerBook, Rooms
+from anvilflow.decisions import AllocationIndex, LeaseClock, OwnerScheduler
 from anvilflow.exceptions import PreconditionError
 from anvilflow.history import check_history
-from anvilflow.parts import HomePart, StorePart
+from anvilflow.parts import CoordinatorPart, StorePart
 from anvilflow.parts._events import CommitAsk
 from anvilflow.standins import WorkerState
 
@@ -51,34 +51,34 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_row_of_the_home_refuses_intents_of_a_former_home(monkeypatch, safeguard):
-    """A home is paused with its intents on the way to a slow table.
+    """A coordinator is paused with its intents on the way to a slow table.
 
-    Another home takes the jobs over, sees no intent, and places and starts the tasks. Then the
-    old intents arrive. Written over the new ones they would lead the next home to the wrong
-    workers: it would find nothing there and start the tasks a second time.
+    Another coordinator takes the jobs over, sees no intent, and places and starts the tasks. Then
+    the old intents arrive. Written over the new ones they would lead the next coordinator to the
+    wrong workers: it would find nothing there and start the tasks a second time.
     """
     if not safeguard:
 
-        def commit(self, home, customer, writes, done):
+        def commit(self, coordinator, customer, writes, done):
             self.post(CommitAsk(conditions=[], writes=writes, done=done))
 
-        monkeypatch.setattr(HomePart, "_commit", commit)
+        monkeypatch.setattr(CoordinatorPart, "_commit", commit)
     cell = make_cell(n_instances=5, n_workers=12)
     cell.submit("a1", make_job("j1", "refresh", 24, seconds=9.0))
-    first = wait_for_home(cell)
+    first = wait_for_coordinator(cell)
     cell.table_faults.slow_s = 3.5
     cell.advance(0.1)
     cell.pause_instance(first)
     cell.table_faults.slow_s = 0.0
     cell.advance(3.6)
     cell.daemons.pop(first)
-    cell.crash_instance(wait_for_home(cell))
+    cell.crash_instance(wait_for_coordinator(cell))
     cell.advance(30.0)
     assert broken_promises(cell) == expected(safeguard, "no task in two places")
 
 
-def wait_for_home(cell):
-    """Let time pass until an instance is home of the large customer; return its name."""
+def wait_for_coordinator(cell):
+    """Let time pass until an instance is coordinator of the large customer; return its name."""
     while True:
         for name, daemon in cell.daemons.items():
             if daemon.supervisor.part("home").dump().get("large"):
@@ -98,7 +98,7 @@
         def overdue(self, request_id):
             return self.finished(request_id, 0.0)
 
-        monkeypatch.setattr(OwnerBook, "overdue", overdue)
+        monkeypatch.setattr(OwnerScheduler, "overdue", overdue)
     cell = make_cell(n_workers=2)
     for _ in range(40):
         for customer in ("small", "large"):
@@ -141,12 +141,12 @@
     The next owner must count what the worker says that runs there before it places anything.
     """
     if not safeguard:
-        add_worker = OwnerBook.add_worker
+        add_worker = OwnerScheduler.add_worker
 
-        def forgetful(self, room, now, *, tasks=(), requests=(), leaving=False):
-            return add_worker(self, room, now)
+        def forgetful(self, allocation, now, *, tasks=(), requests=(), leaving=False):
+            return add_worker(self, allocation, now)
 
-        monkeypatch.setattr(OwnerBook, "add_worker", forgetful)
+        monkeypatch.setattr(OwnerScheduler, "add_worker", forgetful)
     cell = make_cell()
     for customer in ("small", "large"):
         cell.submit("a1", make_job("j1", "refresh", 60, seconds=9.0, customer=customer))
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_group_commit_splits_a_refused_group(monkeypatch, safeguard):
-    """Two customers' records share a transaction, and one customer's home was taken over.
+    """Two customers' records share a transaction, and one customer's coordinator was taken over.
 
     The one refused condition refuses the whole transaction. Apart, the other's records go through
     and its job completes.
@@ -200,10 +200,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_records_of_two_terms_are_not_written_under_one_condition(monkeypatch, safeguard):
-    """A home loses its row and takes it again, while a record of its first term still waits.
+    """A coordinator loses its row and takes it again, while a record of its first term still waits.
 
     Both records name the same task. Written together, under the condition of the second term, the
-    stale one would replace what really runs, and the next home would look for it on a wrong worker.
+    stale one would replace what really runs, and the next coordinator would look for it on a wrong
+    worker.
     """
     if not safeguard:
         monkeypatch.setattr("anvilflow.parts._store._agrees", lambda ask, versions: True)
@@ -230,12 +231,12 @@
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_reserve_keeps_room_for_requests(safeguard):
     """A batch fills the cell; a small customer's request still finds a place at once."""
-    rooms = Rooms(reserve=0.25 if safeguard else 0.0)
-    book = OwnerBook(reserve=rooms.reserve)
+    allocations = AllocationIndex(reserve=0.25 if safeguard else 0.0)
+    scheduler = OwnerScheduler(reserve=allocations.reserve)
     cell = make_cell(n_instances=1)
     from anvilflow.resources import Policy, ServicePolicy
 
-    policy = Policy(name="interactive", rules=ServicePolicy(reserve=book.rooms.reserve))
+    policy = Policy(name="interactive", rules=ServicePolicy(reserve=scheduler.allocations.reserve))
     done = cell.daemons["a1"].context.resources.write("Policy/interactive", policy)
     cell.advance(2.0)
     assert done.called
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -293,23 +293,23 @@
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
 
-    def home(self):
-        """Return the name of the instance that the store knows as the home."""
+    def leader(self):
+        """Return the name of the instance that the store knows as the leader."""
         return self.store.value("home", "home", part="cell")["holder"]
 
-    def homes(self):
-        """Return the instances that act as home now."""
-        return [name for name, daemon in self.daemons.items() if daemon.context.home is not None]
+    def leaders(self):
+        """Return the instances that act as leader now."""
+        return [name for name, daemon in self.daemons.items() if daemon.context.leader is not None]
 
     def other(self):
-        """Return an instance that is not the home."""
-        return next(name for name in self.daemons if name != self.home())
+        """Return an instance that is not the leader."""
+        return next(name for name in self.daemons if name != self.leader())
 
     def call(self, instance, method, path, body=b""):
         """Make a client's call; return a list that gets ``(status, value, headers)``."""
-        entry = self.daemons[instance].supervisor.part("entry")
+        gateway = self.daemons[instance].supervisor.part("entry")
         request = FrontCall(method=method, host="desk.example", path=path, body=body)
-        maybeDeferred(entry.front.render, request)
+        maybeDeferred(gateway.front.render, request)
         return request.answers
 
     def submit(self, instance, job_id, *steps, queue="urgent", **values):
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -1,10 +1,10 @@
-"""What binds a cell of equal small instances: rates, bytes and processor at the home, take-overs.
+"""What binds a cell of equal small instances: rates, bytes and processor at the leader, take-overs.
 
 Plays 1, 4, 12 and 36 instances of 0.12 of a core on links of 2 Mbit/s, in virtual time. For each
-size: starts a second out of a backlog; for each start, what the home sends and receives, its
-processor time and what all others send; seconds from the end of the home until the next start, with
-300 jobs stored. Calls take as long as they are measured to take here, so that figures only mean
-something beside those of another version, played on the same machine.
+size: starts a second out of a backlog; for each start, what the leader sends and receives, its
+processor time and what all others send; seconds from the end of the leader until the next start,
+with 300 jobs stored. Calls take as long as they are measured to take here, so that figures only
+mean something beside those of another version, played on the same machine.
 
     python benchmarks/bench_narrow.py [SIZE ...]
 """
@@ -35,7 +35,7 @@
 BACKLOG_S = 9.0
 COUNTED_FROM_S = 3.0
 
-#: Jobs that are stored when the home ends, and what comes meanwhile: jobs a second.
+#: Jobs that are stored when the leader ends, and what comes meanwhile: jobs a second.
 N_STORED = 300
 USUAL_PER_S = 5
 
@@ -64,10 +64,10 @@
 
 
 def _submit(cell, number):
-    """Submit a job at an instance that is not the home, if there is one."""
-    home = cell.home()
-    entries = [name for name in cell.daemons if name != home] or [home]
-    name = entries[number % len(entries)]
+    """Submit a job at an instance that is not the leader, if there is one."""
+    leader = cell.leader()
+    gateways = [name for name in cell.daemons if name != leader] or [leader]
+    name = gateways[number % len(gateways)]
     job_id = f"{number * 0x9E3779B97F4A7C15 % 2**64:016x}"
     # The estimate keeps jobs from being refused for beginning late.
     step = {"count": N_TASKS, "cpu": 1000, "estimate-ms": 60_000}
@@ -76,19 +76,19 @@
 
 
 class _Counts:
-    """What the home, and all others, have sent, received and spent so far."""
+    """What the leader, and all others, have sent, received and spent so far."""
 
     def __init__(self, cell):
-        home = cell.home()
-        self.home = home
+        leader = cell.leader()
+        self.leader = leader
         self.n_starts = len(cell.spans)
-        self.out = self._sent(cell, lambda name: name == home)
-        self.received = sum(n for (caller, _), n in cell.wire.bytes_in.items() if caller == home)
-        self.received += sum(n for (_, there), n in cell.network.bytes.items() if there == home)
-        self.others_out = self._sent(cell, lambda name: name != home)
-        self.spent_s = cell.clocks[home].spent_s
+        self.out = self._sent(cell, lambda name: name == leader)
+        self.received = sum(n for (caller, _), n in cell.wire.bytes_in.items() if caller == leader)
+        self.received += sum(n for (_, there), n in cell.network.bytes.items() if there == leader)
+        self.others_out = self._sent(cell, lambda name: name != leader)
+        self.spent_s = cell.clocks[leader].spent_s
         self.others_spent_s = sum(clock.spent_s for clock in cell.clocks.values()) - self.spent_s
-        self.calls = sum(n for (caller, _), n in cell.wire.calls.items() if caller == home)
+        self.calls = sum(n for (caller, _), n in cell.wire.calls.items() if caller == leader)
 
     @staticmethod
     def _sent(cell, is_counted):
@@ -115,17 +115,17 @@
         f" {1000 * (after.spent_s - before.spent_s) / n_starts:.3f} ms;"
         f" at all others: {(after.others_out - before.others_out) / n_starts:5.0f} bytes out,"
         f" {1000 * (after.others_spent_s - before.others_spent_s) / n_starts:.3f} ms"
-        f"{'' if before.home == after.home else '; the home changed'}"
+        f"{'' if before.leader == after.leader else '; the home changed'}"
         f"; broken: {len(cell.check())}"
     )
 
 
-def _play_end_of_home(n_instances, end, what):
+def _play_end_of_leader(n_instances, end, what):
     cell = _make_cell(n_instances)
     for number in range(N_STORED):
         _submit(cell, number)
         cell.advance(0.15)
-    ended = cell.home()
+    ended = cell.leader()
     end(cell, ended)
     ended_at = cell.clock.seconds()
     number = N_STORED
@@ -133,7 +133,7 @@
         _submit(cell, number)
         number += 1
         cell.advance(1 / USUAL_PER_S)
-        if cell.home() != ended and _first_start(cell, ended, ended_at) is not None:
+        if cell.leader() != ended and _first_start(cell, ended, ended_at) is not None:
             break
     started_at = _first_start(cell, ended, ended_at)
     took = "none" if started_at is None else f"{started_at - ended_at:.2f} s"
@@ -141,7 +141,7 @@
 
 
 def _first_start(cell, ended, ended_at):
-    """Return when the first task began that a later home has started."""
+    """Return when the first task began that a later leader has started."""
     began = [
         span.began_at
         for span in cell.spans
@@ -162,8 +162,8 @@
         for jobs_per_s in OFFERED_PER_S:
             _play_backlog(size, jobs_per_s)
         if size > 1:
-            _play_end_of_home(size, lambda cell, name: cell.kill(name), "the home's loss")
-            _play_end_of_home(
+            _play_end_of_leader(size, lambda cell, name: cell.kill(name), "the home's loss")
+            _play_end_of_leader(
                 size, lambda cell, name: cell.daemons[name].drain(), "the home's SIGTERM"
             )
 
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -13,10 +13,10 @@
     Dispatch,
     Hold,
     HoldGranted,
-    OwnerBook,
+    OwnerScheduler,
     Refuse,
     Request,
-    Room,
+    WorkerAllocation,
 )
 from anvilflow.metrics import summarize
 from anvilflow.resources import Amounts
@@ -34,12 +34,12 @@
 
     def __init__(self, *, reserve=0.25, hold_s=3.0):
         self.queue = []
-        self.rooms = []
+        self.allocations = []
         self.at = {}
 
-    def add_worker(self, room, now):
+    def add_worker(self, allocation, now):
         """Use a worker."""
-        self.rooms.append(room)
+        self.allocations.append(allocation)
         return []
 
     def submit(self, request, now):
@@ -57,8 +57,8 @@
 
     def finished(self, item, now, *, run_time=None):
         """Free a place."""
-        room, needs = self.at.pop(item)
-        _add(room, needs, 1)
+        allocation, needs = self.at.pop(item)
+        _add(allocation, needs, 1)
         return self._pump()
 
     task_ended = finished
@@ -70,7 +70,7 @@
     @property
     def free_service_slots(self):
         """Free slots."""
-        return sum(room.free[3] for room in self.rooms)
+        return sum(allocation.free[3] for allocation in self.allocations)
 
     @property
     def n_queued(self):
@@ -81,24 +81,26 @@
         out = []
         while self.queue:
             item, needs, value = self.queue[0]
-            room = next((room for room in self.rooms if _fits(room, needs)), None)
-            if room is None:
+            allocation = next(
+                (allocation for allocation in self.allocations if _fits(allocation, needs)), None
+            )
+            if allocation is None:
                 break
             self.queue.pop(0)
-            _add(room, needs, -1)
-            self.at[item] = (room, needs)
-            kind = Dispatch(request=value, worker=room.worker)
+            _add(allocation, needs, -1)
+            self.at[item] = (allocation, needs)
+            kind = Dispatch(request=value, worker=allocation.worker)
             out.append(kind if isinstance(value, Request) else HoldGranted(hold=value, worker=""))
         return out
 
 
-def _fits(room, needs):
-    return needs.cpu_milli <= room.free[0] and needs.slots <= room.free[3]
+def _fits(allocation, needs):
+    return needs.cpu_milli <= allocation.free[0] and needs.slots <= allocation.free[3]
 
 
-def _add(room, needs, sign):
-    room.free[0] += sign * needs.cpu_milli
-    room.free[3] += sign * needs.slots
+def _add(allocation, needs, sign):
+    allocation.free[0] += sign * needs.cpu_milli
+    allocation.free[3] += sign * needs.slots
 
 
 class Rig:
@@ -106,7 +108,7 @@
 
     Parameters
     ----------
-    make_book : callable
+    make_scheduler : callable
         Builds the book of one owner.
     n_owners, n_workers : int
     capacity : Amounts
@@ -114,7 +116,7 @@
     random_state : int
     """
 
-    def __init__(self, *, make_book, n_owners, n_workers, capacity, random_state):
+    def __init__(self, *, make_scheduler, n_owners, n_workers, capacity, random_state):
         self.random_state = Random(random_state)
         self.capacity = capacity
         self.now = 0.0
@@ -126,11 +128,11 @@
         self._order = itertools.count()
         self._arrived = {}
         self._run_times = {}
-        self.books = [make_book() for _ in range(n_owners)]
+        self.schedulers = [make_scheduler() for _ in range(n_owners)]
         self._seen = [0] * n_owners
         for number in range(n_workers):
-            room = Room(worker=f"w{number}", capacity=capacity)
-            self.books[number % n_owners].add_worker(room, 0.0)
+            allocation = WorkerAllocation(worker=f"w{number}", capacity=capacity)
+            self.schedulers[number % n_owners].add_worker(allocation, 0.0)
 
     def at(self, time, call, *args):
         """Call at a time."""
@@ -145,7 +147,7 @@
 
     def backlog(self, customer, n_waiting, run_time, until):
         """Keep `n_waiting` tasks waiting at each owner until a time."""
-        for number, _ in enumerate(self.books):
+        for number, _ in enumerate(self.schedulers):
             for _ in range(n_waiting):
                 self._hold(number, customer, run_time, until)
 
@@ -166,15 +168,17 @@
 
     def _see(self):
         """Take new digests."""
-        self._seen = [book.free_service_slots - book.n_queued for book in self.books]
+        self._seen = [
+            scheduler.free_service_slots - scheduler.n_queued for scheduler in self.schedulers
+        ]
 
     def _tick(self):
-        for number, book in enumerate(self.books):
-            self._take(number, book.tick(self.now))
+        for number, scheduler in enumerate(self.schedulers):
+            self._take(number, scheduler.tick(self.now))
 
     def _choose(self):
-        numbers = range(len(self.books))
-        some = self.random_state.sample(numbers, min(2, len(self.books)))
+        numbers = range(len(self.schedulers))
+        some = self.random_state.sample(numbers, min(2, len(self.schedulers)))
         best = max(some, key=lambda number: self._seen[number])
         self._seen[best] -= 1
         return best
@@ -192,7 +196,7 @@
             run_time=0.02,
             deadline=self.now + deadline,
         )
-        self._take(number, self.books[number].submit(request, self.now))
+        self._take(number, self.schedulers[number].submit(request, self.now))
 
     def _hold(self, number, customer, run_time, until):
         if self.now >= until:
@@ -203,16 +207,16 @@
         again = (self._hold, number, customer, run_time, until)
         self._run_times[item, "again"] = again
         hold = Hold(hold_id=item, customer=customer, needs=REFRESH, age=1)
-        self._take(number, self.books[number].ask_hold(hold, self.now))
+        self._take(number, self.schedulers[number].ask_hold(hold, self.now))
 
     def _take(self, number, messages):
         for message in messages:
             match message:
                 case Dispatch(request=request):
-                    self._placed(number, request.request_id, self.books[number].finished)
+                    self._placed(number, request.request_id, self.schedulers[number].finished)
                 case HoldGranted(hold=hold):
-                    self.books[number].start(hold.hold_id)
-                    self._placed(number, hold.hold_id, self.books[number].task_ended)
+                    self.schedulers[number].start(hold.hold_id)
+                    self._placed(number, hold.hold_id, self.schedulers[number].task_ended)
                     again = self._run_times.pop((hold.hold_id, "again"), None)
                     if again:
                         self.at(self.now, *again)
@@ -237,6 +241,6 @@
         self._take(number, end(item, self.now))
 
 
-def make_owner_book():
+def make_owner_scheduler():
     """Return the product's book."""
-    return OwnerBook(reserve=0.25)
+    return OwnerScheduler(reserve=0.25)
