--- a/anvilflow/chaos/__init__.py
+++ b/anvilflow/chaos/__init__.py
@@ -1,4 +1,4 @@
-"""Seeded runs of a whole cell under mixed faults, each judged by its history."""
+"""Seeded runs of a whole cell under mixed faults, with the invariants checked on each history."""
 
 from ._faults import FAULT_KINDS, FaultPlan
 from ._run import ChaosReport, run_seed
--- a/anvilflow/chaos/__main__.py
+++ b/anvilflow/chaos/__main__.py
@@ -1,4 +1,4 @@
-"""Run many seeds and add up what happened.
+"""Runs many seeds and prints the totals of their reports.
 
 ``python -m anvilflow.chaos run --first 0 --seeds 50 --out FILE``, then
 ``python -m anvilflow.chaos total FILE...``; ``make chaos`` runs several at once.
@@ -15,7 +15,10 @@
 
 
 def run(seeds=1000, first=0, out=None):
-    """Run seeds `first` to `first + seeds - 1`; exit with 1 when a promise was broken."""
+    """Run seeds `first` to `first + seeds - 1`; exit with 1 when an invariant was violated.
+
+    With `out`, the reports are written to this file instead, and the exit status is 0.
+    """
     reports = []
     for seed in range(first, first + seeds):
         report = run_seed(seed)
@@ -27,18 +30,18 @@
         Path(out).parent.mkdir(parents=True, exist_ok=True)
         Path(out).write_bytes(encode(reports))
         return
-    _conclude(reports)
+    _print_totals_and_exit(reports)
 
 
 def total(*files):
-    """Add up the reports in files; exit with 1 when a promise was broken."""
+    """Add up the reports in files; exit with 1 when an invariant was violated."""
     reports = []
     for file in files:
         reports += decode(Path(file).read_bytes(), list[ChaosReport])
-    _conclude(reports)
+    _print_totals_and_exit(reports)
 
 
-def _conclude(reports):
+def _print_totals_and_exit(reports):
     faults, operations, checked = Counter(), Counter(), Counter()
     for report in reports:
         faults.update(report.faults)
--- a/anvilflow/chaos/_faults.py
+++ b/anvilflow/chaos/_faults.py
@@ -1,8 +1,8 @@
-"""Faults of a run: each begins at random and is over after a while."""
+"""Random faults of a run and their ends."""
 
 from collections import Counter
 
-#: Faults and how often each is chosen.
+#: Kinds of faults and the relative frequency of each.
 FAULT_KINDS = {
     "instance killed": 3,
     "instance paused": 3,
@@ -20,11 +20,12 @@
     "worker leaves": 1,
 }
 
+#: An instance is taken out of service only while more than this many are in service.
 _MIN_INSTANCES = 3
 
 
 class FaultPlan:
-    """Causes faults in a cell.
+    """Injects random faults into a cell and ends each after a random time.
 
     Parameters
     ----------
@@ -37,134 +38,142 @@
         self.random_state = random_state
         self.counts = Counter()
         self._ends = []
-        self._busy = set()
+        self._out_of_service = set()
         self._n_started = cell.n_instances
-        self._causes = {
-            "instance killed": self._kill,
-            "instance paused": self._pause,
-            "instance drained": self._drain,
-            "way silenced": self._silence,
-            "table down": lambda: self._switch(self.cell.table_faults, "down", True, False, 8.0),
-            "table slow": lambda: self._switch(self.cell.table_faults, "slow_s", 0.7, 0.0, 5.0),
-            "table loses answers": lambda: self._switch(
+        self._injectors = {
+            "instance killed": self._kill_instance,
+            "instance paused": self._pause_instance,
+            "instance drained": self._drain_instance,
+            "way silenced": self._partition_one_way,
+            "table down": lambda: self._set_temporarily(
+                self.cell.table_faults, "down", True, False, 8.0
+            ),
+            "table slow": lambda: self._set_temporarily(
+                self.cell.table_faults, "slow_s", 0.7, 0.0, 5.0
+            ),
+            "table loses answers": lambda: self._set_temporarily(
                 self.cell.table_faults, "lose_answer", True, False, 3.0
             ),
-            "list unreachable": lambda: self._switch(
+            "list unreachable": lambda: self._set_temporarily(
                 self.cell.membership_faults, "down", True, False, 8.0
             ),
-            "list omits a live instance": self._omit,
-            "worker crashed": lambda: self._worker().crash(),
-            "worker silent": lambda: self._switch(self._worker().faults, "down", True, False, 20.0),
-            "worker slow": lambda: self._switch(self._worker().faults, "slow_s", 1.0, 0.0, 8.0),
-            "worker loses answers": lambda: self._switch(
-                self._worker().faults, "lose_answer", True, False, 5.0
+            "list omits a live instance": self._unlist_instance,
+            "worker crashed": lambda: self._choose_worker().crash(),
+            "worker silent": lambda: self._set_temporarily(
+                self._choose_worker().faults, "down", True, False, 20.0
+            ),
+            "worker slow": lambda: self._set_temporarily(
+                self._choose_worker().faults, "slow_s", 1.0, 0.0, 8.0
+            ),
+            "worker loses answers": lambda: self._set_temporarily(
+                self._choose_worker().faults, "lose_answer", True, False, 5.0
             ),
-            "worker leaves": self._leave,
+            "worker leaves": self._remove_worker,
         }
 
-    def cause_one(self):
-        """Cause a fault chosen at random."""
+    def inject_one(self):
+        """Inject a fault of a random kind."""
         kinds = list(FAULT_KINDS)
         [kind] = self.random_state.choices(kinds, weights=FAULT_KINDS.values())
-        if self._causes[kind]() is not False:
+        if self._injectors[kind]() is not False:
             self.counts[kind] += 1
 
-    def end_due(self):
-        """End the faults that are over."""
+    def end_expired(self):
+        """End the faults whose time is over."""
         now = self.cell.clock.seconds()
         for end in [end for end in self._ends if end[0] <= now]:
             self._ends.remove(end)
             end[1]()
 
     def end_all(self):
-        """End all faults."""
+        """End all faults now."""
         while self._ends:
             self._ends.pop(0)[1]()
         self.cell.network.heal()
 
-    def entries(self):
-        """Return the instances to which the balancer sends callers."""
-        return [name for name in self.cell.daemons if name not in self._busy]
+    def available_instances(self):
+        """Return the instances in service; the balancer sends calls only to these."""
+        return [name for name in self.cell.daemons if name not in self._out_of_service]
 
-    def _later(self, longest, call):
+    def _end_later(self, longest, call):
         delay = self.random_state.uniform(0.1, longest)
         self._ends.append((self.cell.clock.seconds() + delay, call))
 
-    def _switch(self, faults, name, value, normal, longest):
+    def _set_temporarily(self, faults, name, value, normal, longest):
         setattr(faults, name, value)
-        self._later(longest, lambda: setattr(faults, name, normal))
+        self._end_later(longest, lambda: setattr(faults, name, normal))
 
-    def _choose(self):
-        """Return an instance that nothing happens to yet, when enough others are left."""
-        names = self.entries()
+    def _choose_instance(self):
+        """Return a random available instance, or None when too few are left."""
+        names = self.available_instances()
         return self.random_state.choice(names) if len(names) > _MIN_INSTANCES else None
 
-    def _worker(self):
+    def _choose_worker(self):
         return self.random_state.choice(list(self.cell.workers.values()))
 
-    def _replace(self):
+    def _start_replacement(self):
         self._n_started += 1
         self.cell.start_instance(f"a{self._n_started}")
 
-    def _kill(self):
-        name = self._choose()
+    def _kill_instance(self):
+        name = self._choose_instance()
         if name is None:
             return False
         self.cell.crash_instance(name)
-        self._later(5.0, self._replace)
+        self._end_later(5.0, self._start_replacement)
         return True
 
-    def _pause(self):
-        name = self._choose()
+    def _pause_instance(self):
+        name = self._choose_instance()
         if name is None:
             return False
-        self._busy.add(name)
+        self._out_of_service.add(name)
         self.cell.pause_instance(name)
-        self._later(25.0, lambda: self._resume(name))
+        self._end_later(25.0, lambda: self._resume_instance(name))
         return True
 
-    def _resume(self, name):
+    def _resume_instance(self, name):
         self.cell.resume_instance(name)
-        self._busy.discard(name)
+        self._out_of_service.discard(name)
 
-    def _drain(self):
-        name = self._choose()
+    def _drain_instance(self):
+        name = self._choose_instance()
         if name is None:
             return False
-        self._busy.add(name)
+        self._out_of_service.add(name)
         done = self.cell.daemons[name].drain()
-        done.addCallback(lambda _: self._drained(name))
+        done.addCallback(lambda _: self._replace_drained(name))
         return True
 
-    def _drained(self, name):
+    def _replace_drained(self, name):
         del self.cell.daemons[name]
         self.cell.membership.remove(name)
-        self._busy.discard(name)
-        self._replace()
+        self._out_of_service.discard(name)
+        self._start_replacement()
 
-    def _silence(self):
+    def _partition_one_way(self):
         names = list(self.cell.daemons)
-        here, there = self.random_state.sample(names, 2)
-        self.cell.network.silence(here, there)
-        self._later(10.0, lambda: self.cell.network.unsilence(here, there))
+        sender, receiver = self.random_state.sample(names, 2)
+        self.cell.network.silence(sender, receiver)
+        self._end_later(10.0, lambda: self.cell.network.unsilence(sender, receiver))
 
-    def _omit(self):
-        name = self._choose()
+    def _unlist_instance(self):
+        name = self._choose_instance()
         if name is None:
             return False
         self.cell.membership.remove(name)
-        self._later(8.0, lambda: self._list_again(name))
+        self._end_later(8.0, lambda: self._list_again(name))
         return True
 
     def _list_again(self, name):
         if name in self.cell.daemons:
             self.cell.list_instance(name)
 
-    def _leave(self):
-        staying = [name for name in self.cell.workers if name not in self._busy]
-        if len(staying) <= len(self.cell.workers) // 2:
+    def _remove_worker(self):
+        remaining = [name for name in self.cell.workers if name not in self._out_of_service]
+        if len(remaining) <= len(self.cell.workers) // 2:
             return False
-        name = self.random_state.choice(staying)
-        self._busy.add(name)
+        name = self.random_state.choice(remaining)
+        self._out_of_service.add(name)
         self.cell.worker_leaves(name)
         return True
--- a/anvilflow/chaos/_run.py
+++ b/anvilflow/chaos/_run.py
@@ -1,4 +1,4 @@
-"""One seeded run: load and faults, then quiet, then the verdict."""
+"""One seeded run: load with faults, recovery without them, and the checks of the history."""
 
 from collections import Counter
 from random import Random
@@ -11,15 +11,16 @@
 from ..utils import encode
 from ._faults import FaultPlan
 
-#: Time with load and faults, and time after it in which everything must end. Unit: seconds.
-STORM_S = 25.0
-QUIET_S = 70.0
+#: Length of the phase with load and faults, and of the phase after it in which all jobs and
+#: requests must end. Unit: seconds.
+FAULT_PHASE_S = 25.0
+RECOVERY_PHASE_S = 70.0
 
 _STEP_S = 0.05
 _CAPACITY = Amounts(cpu_milli=16_000, memory_mb=32_768, slots=8)
 _ENDED = {"completed", "failed", "cancelled"}
 
-#: Chances per step.
+#: Probabilities per step.
 _P_REQUEST = 0.8
 _P_JOB = 0.04
 _P_CANCEL = 0.01
@@ -28,15 +29,15 @@
 
 
 class ChaosReport(Struct, kw_only=True):
-    """What happened in a run.
+    """Counts and violations of a run.
 
     Parameters
     ----------
     seed : int
     faults, operations, checked : dict of str to int
-        Counts; `checked` by promise.
+        Counts by kind; `checked` by invariant.
     broken : list of str
-        What was broken; empty in a good run.
+        Violations; empty in a good run.
     """
 
     seed: int
@@ -46,8 +47,8 @@
     broken: list[str]
 
 
-class _Storm:
-    """Load on a cell under faults."""
+class _ChaosRun:
+    """A cell with random load and random faults."""
 
     def __init__(self, *, seed, n_instances, n_workers):
         self.random_state = Random(seed)
@@ -58,52 +59,54 @@
             declarations=make_declarations(),
             random_state=seed,
         )
-        self.plan = FaultPlan(cell=self.cell, random_state=self.random_state)
+        self.fault_plan = FaultPlan(cell=self.cell, random_state=self.random_state)
         self.operations = Counter()
         self.jobs = []
         self.problems = []
 
     def step(self):
-        """Act at random and let time pass."""
+        """Start random operations and faults, then advance the clock by one step."""
         chance = self.random_state.random
         if chance() < _P_REQUEST:
-            self._request()
+            self._send_request()
         if chance() < _P_JOB:
-            self._job()
+            self._submit_job()
         if chance() < _P_CANCEL and self.jobs:
-            self._cancel()
+            self._cancel_job()
         if chance() < _P_CONFIG:
             self._change_config()
         if chance() < _P_FAULT:
-            self.plan.cause_one()
-        self.plan.end_due()
+            self.fault_plan.inject_one()
+        self.fault_plan.end_expired()
         self.cell.advance(_STEP_S)
 
-    def _entry(self):
-        return self.random_state.choice(self.plan.entries())
+    def _choose_gateway(self):
+        return self.random_state.choice(self.fault_plan.available_instances())
 
-    def _request(self):
+    def _send_request(self):
         choice = self.random_state.random()
         values = {"seconds": self.random_state.choice([0.0, 0.01, 0.05, 0.5])}
         values["deadline_s"] = self.random_state.choice([0.2, 2.0, 10.0])
         customer = self.random_state.choice(["small", "large", "large"])
         if choice < 0.5:
             self.operations["idempotent request"] += 1
-            self.cell.request(self._entry(), customer, "lookup", **values)
+            self.cell.request(self._choose_gateway(), customer, "lookup", **values)
         elif choice < 0.8:
             self.operations["non-idempotent request"] += 1
-            self.cell.request(self._entry(), customer, "lookup", idempotent=False, **values)
+            self.cell.request(
+                self._choose_gateway(), customer, "lookup", idempotent=False, **values
+            )
         else:
-            self._keyed(customer, values)
+            self._send_keyed_requests(customer, values)
 
-    def _keyed(self, customer, values):
-        """Send a request with a key and repeat it at other instances."""
+    def _send_keyed_requests(self, customer, values):
+        """Send a request with an idempotency key to one to three random instances."""
         self.operations["keyed request"] += 1
         key = f"k{self.operations['keyed request']}"
         for _ in range(self.random_state.randint(1, 3)):
-            self.cell.request_keyed(self._entry(), customer, "lookup", key, **values)
+            self.cell.request_keyed(self._choose_gateway(), customer, "lookup", key, **values)
 
-    def _job(self):
+    def _submit_job(self):
         workload = self.random_state.choice(["refresh", "refresh", "assembly"])
         self.operations[f"{workload} job"] += 1
         name = f"j{len(self.jobs)}"
@@ -115,71 +118,79 @@
         customer = self.random_state.choice(["small", "large"])
         job = Job(name=name, customer=customer, workload=workload, tasks=tasks)
         self.jobs.append(job)
-        self.cell.submit(self._entry(), job)
+        self.cell.submit(self._choose_gateway(), job)
 
-    def _cancel(self):
+    def _cancel_job(self):
         self.operations["cancel"] += 1
         job = self.random_state.choice(self.jobs)
-        done = self.cell.part(self._entry(), "entry").cancel(job.customer, job.name)
+        done = self.cell.part(self._choose_gateway(), "entry").cancel(job.customer, job.name)
         done.addErrback(lambda _: None)
 
     def _change_config(self):
         self.operations["configuration change"] += 1
         priority = self.random_state.randint(50, 500)
 
-        def changed(customer):
+        def with_priority(customer):
             customer.priority = priority
             return customer
 
-        resources = self.cell.daemons[self._entry()].context.resources
-        done = resources.write("Customer/small", None, check=changed)
-        done.addCallbacks(self._accepted, lambda _: None)
+        resources = self.cell.daemons[self._choose_gateway()].context.resources
+        done = resources.write("Customer/small", None, check=with_priority)
+        done.addCallbacks(self._record_accepted, lambda _: None)
 
-    def _accepted(self, written):
+    def _record_accepted(self, written):
         if written.changed:
             self.cell.history.add(ConfigAccepted, revision=written.revision)
 
 
-def run_seed(seed, *, n_instances=5, n_workers=8, storm_s=STORM_S, quiet_s=QUIET_S):
-    """Run one seed.
+def run_seed(
+    seed,
+    *,
+    n_instances=5,
+    n_workers=8,
+    fault_phase_s=FAULT_PHASE_S,
+    recovery_phase_s=RECOVERY_PHASE_S,
+):
+    """Run one seed and return its report.
 
     Parameters
     ----------
     seed : int
         The same seed gives the same run.
     n_instances, n_workers : int
-    storm_s, quiet_s : float
-        Time with faults, and time after it. Unit: seconds of virtual time.
+    fault_phase_s, recovery_phase_s : float
+        Length of the phase with faults, and of the phase after it. Unit: seconds of virtual
+        time.
 
     Returns
     -------
     report : ChaosReport
     """
-    storm = _Storm(seed=seed, n_instances=n_instances, n_workers=n_workers)
-    cell = storm.cell
+    chaos_run = _ChaosRun(seed=seed, n_instances=n_instances, n_workers=n_workers)
+    cell = chaos_run.cell
     cell.start()
-    for _ in range(round(storm_s / _STEP_S)):
-        storm.step()
-    storm.plan.end_all()
+    for _ in range(round(fault_phase_s / _STEP_S)):
+        chaos_run.step()
+    chaos_run.fault_plan.end_all()
     ended = cell.clock.seconds()
-    cell.advance(quiet_s)
-    broken = list(storm.problems)
+    cell.advance(recovery_phase_s)
+    broken = list(chaos_run.problems)
     verdicts = check_history(cell.history.events, config_limit_s=30.0, instances=[], ended_at=ended)
     for verdict in verdicts:
         broken += [f"{verdict.promise}: {line}" for line in verdict.broken]
     broken += [f"part failed: {error!r}" for error in cell.errors]
-    broken += _unfinished(cell) + _restarted(cell) + _behind(cell)
+    broken += _unfinished_jobs(cell) + _restarted_parts(cell) + _outdated_instances(cell)
     return ChaosReport(
         seed=seed,
-        faults=dict(storm.plan.counts),
-        operations=dict(storm.operations),
+        faults=dict(chaos_run.fault_plan.counts),
+        operations=dict(chaos_run.operations),
         checked={verdict.promise: verdict.n_checked for verdict in verdicts},
         broken=broken,
     )
 
 
-def _unfinished(cell):
-    """Every job that is in the table has ended by now."""
+def _unfinished_jobs(cell):
+    """Return a line for each job in the table that has not ended."""
     catalog = next(iter(cell.daemons.values())).context.catalog
     return [
         f"job {job.customer}/{job.name} of {len(job.tasks)} {job.workload} is {job.phase}"
@@ -188,8 +199,8 @@
     ]
 
 
-def _restarted(cell):
-    """No part failed."""
+def _restarted_parts(cell):
+    """Return a line for each part that was restarted after a failure."""
     return [
         f"{name}: part {part} was restarted {n} times"
         for name, daemon in cell.daemons.items()
@@ -198,8 +209,8 @@
     ]
 
 
-def _behind(cell):
-    """Every instance has the newest revision in force."""
+def _outdated_instances(cell):
+    """Return a line for each instance that does not have the newest revision in force."""
     newest = cell.table.rows["config/revision"][1]
     return [
         f"{name} is at revision {daemon.context.catalog.revision} of {newest}"
