--- a/anvilflow/demo/__init__.py
+++ b/anvilflow/demo/__init__.py
@@ -1,4 +1,4 @@
-"""A whole cell in one process, with load, faults and a verdict."""
+"""A whole cell in one process, with load, faults and checks of the invariants."""
 
 from ._demo import run_demo
 from ._deployments import DEPLOYMENTS, Deployment
--- a/anvilflow/demo/_demo.py
+++ b/anvilflow/demo/_demo.py
@@ -1,4 +1,4 @@
-"""The demo: start, load, one graceful stop, one cut, verdict."""
+"""The demo: load on a cell, one instance drained, one crashed, and checks of the history."""
 
 import sys
 import time
@@ -16,21 +16,21 @@
 
 _TABLE_PERIOD_S = 2.0
 
-#: Longest wait for jobs in progress once the load has ended. Unit: seconds.
-_SETTLE_S = 20.0
+#: Longest wait for open jobs and requests after the load has ended. Unit: seconds.
+_JOBS_TIMEOUT_S = 20.0
 
 _ENDED = {"completed", "failed", "cancelled"}
 
 
 def run_demo(reactor, *, deployment="lonestar", seconds=20.0, random_state=0):
-    """Run the demo; the Deferred fires with whether every promise held.
+    """Run the demo; the Deferred fires with whether every check passed.
 
     Parameters
     ----------
     reactor : IReactorTCP
     deployment : {"lonestar", "quito"}, default="lonestar"
     seconds : float, default=20.0
-        How long the load lasts.
+        Duration of the load. Unit: seconds.
     random_state : int, default=0
     """
     check_one_of(deployment, DEPLOYMENTS, "--deployment", error=CallError)
@@ -57,43 +57,43 @@
     )
     began, cpu_began = reactor.seconds(), time.process_time()
     load.start()
-    await _half(reactor, load, cell, began, began + seconds / 2)
+    await _show_until(reactor, load, cell, began, began + seconds / 2)
     print("--- a2 is stopped gracefully, a3 is cut off, worker w05 leaves ---")
     cell.worker_leaves("w05")
     drained = cell.daemons["a2"].drain()
     drained.addCallback(lambda _: cell.daemons.pop("a2"))
     cell.balancer.set_healthy([name for name in cell.daemons if name not in ("a2", "a3")])
     cell.crash_instance("a3")
-    await _half(reactor, load, cell, began, began + seconds)
+    await _show_until(reactor, load, cell, began, began + seconds)
     load.stop()
     ended = reactor.seconds()
     cpu = time.process_time() - cpu_began
-    left = await _settle(reactor, cell, load)
-    return await _finish(cell, load, history, began, ended, cpu, left)
+    unfinished = await _wait_for_jobs(reactor, cell, load)
+    return await _stop_and_report(cell, load, history, began, ended, cpu, unfinished)
 
 
-async def _half(reactor, load, cell, began, until):
+async def _show_until(reactor, load, cell, began, until):
     while reactor.seconds() < until:
         await deferLater(reactor, min(_TABLE_PERIOD_S, until - reactor.seconds()), lambda: None)
         _show_live(reactor.seconds() - began, load, cell)
 
 
-async def _settle(reactor, cell, load):
-    """Wait for the jobs in progress; return those that did not end."""
-    deadline = reactor.seconds() + _SETTLE_S
+async def _wait_for_jobs(reactor, cell, load):
+    """Wait for open jobs and requests; return the jobs that have not ended."""
+    deadline = reactor.seconds() + _JOBS_TIMEOUT_S
     while True:
-        left = _unfinished(cell)
-        if (not left and not load.n_open) or reactor.seconds() > deadline:
-            return left
+        unfinished = _unfinished_jobs(cell)
+        if (not unfinished and not load.n_open) or reactor.seconds() > deadline:
+            return unfinished
         await deferLater(reactor, 0.2, lambda: None)
 
 
-def _unfinished(cell):
+def _unfinished_jobs(cell):
     catalog = next(iter(cell.daemons.values())).context.catalog
     return [f"{job.customer}/{job.name}" for job in catalog.jobs() if job.phase not in _ENDED]
 
 
-async def _finish(cell, load, history, began, ended, cpu, left):
+async def _stop_and_report(cell, load, history, began, ended, cpu, unfinished):
     total = Metrics()
     jobs = _job_counts(cell)
     for daemon in cell.daemons.values():
@@ -108,7 +108,7 @@
     verdicts = check_history(
         history.events, instances=[name for name in cell.daemons], ended_at=ended
     )
-    return _show_verdicts(verdicts, cell, load, left)
+    return _show_verdicts(verdicts, cell, load, unfinished)
 
 
 def _merge(total, customer, kind, histogram):
@@ -136,7 +136,7 @@
         f"queued {sum(book.n_queued for book in books):3d}  "
         f"running {sum(book.n_running for book in books):3d}  "
         f"tasks {sum(book.n_tasks for book in books):3d}  "
-        f"jobs open {len(_unfinished(cell)):3d}  "
+        f"jobs open {len(_unfinished_jobs(cell)):3d}  "
         f"{load.deployment.small} p99 {1000 * small['p99']:6.1f} ms"
     )
     sys.stdout.flush()
@@ -175,15 +175,15 @@
     return total + sum(max(0.0, ended - start) for start in open_since.values())
 
 
-def _show_verdicts(verdicts, cell, load, left):
+def _show_verdicts(verdicts, cell, load, unfinished):
     print()
     for verdict in verdicts:
-        print(f"{verdict.word:11} {verdict.promise} ({verdict.n_checked} checked)")
+        print(f"{verdict.status_text:11} {verdict.promise} ({verdict.n_checked} checked)")
         for line in verdict.broken[:3]:
             print(f"        {line}")
     held = all(verdict.held for verdict in verdicts)
     for problem in [*cell.errors, *load.errors]:
         print(f"BROKEN  unexpected: {problem!r}")
-    if left:
-        print(f"BROKEN  jobs without an end: {', '.join(left)}")
-    return held and not cell.errors and not load.errors and not left
+    if unfinished:
+        print(f"BROKEN  jobs without an end: {', '.join(unfinished)}")
+    return held and not cell.errors and not load.errors and not unfinished
--- a/anvilflow/demo/_deployments.py
+++ b/anvilflow/demo/_deployments.py
@@ -1,4 +1,4 @@
-"""The two users' cells and their load."""
+"""The cells of two users, with customers and workloads."""
 
 from msgspec import Struct
 
@@ -15,16 +15,16 @@
 
 
 class Deployment(Struct, kw_only=True):
-    """A cell and who uses it.
+    """A cell, its customers and their workloads.
 
     Parameters
     ----------
     domains : list of str
     capacity : Amounts
-        Of each worker.
+        Capacity of each worker.
     workers_per_rack : int
     small, large, background : str
-        Customers: of quick requests, of gang orders, of the all-day batch.
+        Names of the customers with short requests, with gang jobs, and with continuous batch jobs.
     lookup, order, assembly, refresh : Workload
     """
 
@@ -42,7 +42,7 @@
     n_workers: int = 24
 
     def declarations(self):
-        """Return what is declared in the cell."""
+        """Return the resources declared in the cell."""
         return [
             Policy(name="interactive", rules=ServicePolicy()),
             Policy(name="background", rules=BatchPolicy()),
@@ -58,7 +58,10 @@
 
 
 def _make_workloads(names, cpu_milli, memory_mb):
-    """Return the four workloads; a gang task takes four, a batch task two times a request."""
+    """Return the four workloads by field of :class:`Deployment`.
+
+    A gang task needs four times, a batch task two times the resources of a request.
+    """
     lookup, order, assembly, refresh = names
 
     def needs(factor):
--- a/anvilflow/demo/_load.py
+++ b/anvilflow/demo/_load.py
@@ -1,4 +1,4 @@
-"""Load on the demo's cell, through the balancer and the callers' API."""
+"""Load on the demo's cell, sent through the balancer to the callers' API."""
 
 from random import Random
 
@@ -10,10 +10,10 @@
 from ..metrics import Metrics
 from ..utils import decode_lenient, encode
 
-#: How long a caller waits. Unit: seconds.
+#: Deadline of a request. Unit: seconds.
 _DEADLINE_S = 5.0
 
-#: Tasks of one gang order, and of one batch.
+#: Number of tasks of a gang job, and of a batch job.
 _GANG_TASKS = 12
 _BATCH_TASKS = 60
 
@@ -21,7 +21,7 @@
 
 
 class Load:
-    """Callers and operators of the demo.
+    """Sends the calls of the demo's callers and operators.
 
     Parameters
     ----------
@@ -47,41 +47,49 @@
         self._stopped = False
 
     def start(self):
-        """Begin."""
+        """Start sending requests, jobs and configuration changes."""
         deployment = self.deployment
-        self._poisson(120.0, lambda: self._request(deployment.small, deployment.lookup, 0.02))
-        self._poisson(40.0, lambda: self._request(deployment.large, deployment.order, 0.05))
-        self._every(0.7, lambda: self._job(deployment.large, deployment.assembly, _GANG_TASKS, 1.0))
-        self._every(
-            1.3, lambda: self._job(deployment.background, deployment.refresh, _BATCH_TASKS, 0.8)
+        self._call_poisson(
+            120.0, lambda: self._send_request(deployment.small, deployment.lookup, 0.02)
         )
-        self._every(_HEALTH_PERIOD_S, self._check_health)
-        self._every(2.0, self._change_config)
+        self._call_poisson(
+            40.0, lambda: self._send_request(deployment.large, deployment.order, 0.05)
+        )
+        self._call_every(
+            0.7, lambda: self._submit_job(deployment.large, deployment.assembly, _GANG_TASKS, 1.0)
+        )
+        self._call_every(
+            1.3,
+            lambda: self._submit_job(deployment.background, deployment.refresh, _BATCH_TASKS, 0.8),
+        )
+        self._call_every(_HEALTH_PERIOD_S, self._check_health)
+        self._call_every(2.0, self._change_config)
 
     def stop(self):
-        """Send nothing more."""
+        """Stop sending."""
         self._stopped = True
         for loop in self._loops:
             loop.stop()
 
-    def _every(self, period, call):
-        loop = LoopingCall(lambda: self._guard(call))
+    def _call_every(self, period, call):
+        loop = LoopingCall(lambda: self._call_and_record_failure(call))
         loop.clock = self.cell.reactor
         self._loops.append(loop)
         loop.start(period)
 
-    def _poisson(self, rate, call):
+    def _call_poisson(self, rate, call):
+        """Call at random times, `rate` times a second on average."""
         if self._stopped:
             return
-        self._guard(call)
+        self._call_and_record_failure(call)
         delay = self.random_state.expovariate(rate)
-        self.cell.reactor.callLater(delay, self._poisson, rate, call)
+        self.cell.reactor.callLater(delay, self._call_poisson, rate, call)
 
-    def _guard(self, call):
+    def _call_and_record_failure(self, call):
         done = ensureDeferred(call())
         done.addErrback(lambda failure: self.errors.append(failure.value))
 
-    async def _request(self, customer, workload, seconds):
+    async def _send_request(self, customer, workload, seconds):
         chosen = self.cell.balancer.choose()
         if chosen is None:
             return
@@ -108,7 +116,7 @@
                 waited = max(0.0, reactor.seconds() - began - seconds)
                 self.metrics.waited(customer, "service", waited)
         except Exception as exc:
-            # Only the one instance that is cut off on purpose may break a caller's connection.
+            # Only the instance that the demo crashes may break a caller's connection.
             if chosen[0] in self.cell.daemons:
                 self.errors.append(exc)
             else:
@@ -118,7 +126,7 @@
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         self.cell.history.add(Answered, token=token, outcome=outcome, echoed=echoed)
 
-    async def _job(self, customer, workload, n_tasks, seconds):
+    async def _submit_job(self, customer, workload, n_tasks, seconds):
         self.n_jobs += 1
         name = f"job-{self.n_jobs}"
         tasks = [
@@ -126,7 +134,7 @@
             for index in range(n_tasks)
         ]
         call = {"name": name, "customer": customer, "workload": workload.name, "tasks": tasks}
-        # Submitting is safe to repeat, also at another instance: so it is, until it is answered.
+        # A submission is safe to repeat, also at another instance, so it is retried until accepted.
         while True:
             chosen = self.cell.balancer.choose()
             if chosen is not None:
@@ -140,7 +148,7 @@
             await deferLater(self.cell.reactor, 0.1, lambda: None)
 
     async def _check_health(self):
-        """Tell the balancer which instances say that they are healthy."""
+        """Pass the names of the healthy instances to the balancer."""
         healthy = []
         for name, daemon in list(self.cell.daemons.items()):
             if daemon.context.ready and not daemon.context.leaving:
@@ -148,7 +156,7 @@
         self.cell.balancer.set_healthy(healthy)
 
     async def _change_config(self):
-        """Change a priority, as an operator does."""
+        """Change the priority of a customer, as an operator does."""
         daemon = next(iter(self.cell.daemons.values()))
         self._n_changes += 1
         priority = 200 + self._n_changes
--- a/anvilflow/history/__init__.py
+++ b/anvilflow/history/__init__.py
@@ -1,4 +1,4 @@
-"""Records of what happened, and the checks of what must always hold."""
+"""Recorded events of a run, and the invariants checked on them."""
 
 from ._checker import Verdict, check_history
 from ._recorder import (
--- a/anvilflow/history/_checker.py
+++ b/anvilflow/history/_checker.py
@@ -1,4 +1,4 @@
-"""Verdicts on a recorded history, one for each promise."""
+"""Checks of the invariants on a recorded history, with one verdict for each."""
 
 from collections import defaultdict
 
@@ -17,20 +17,21 @@
     WorkerKnown,
 )
 
-#: Time after which a leaving target gets no new work. Unit: seconds.
+#: Time after the notice of leaving from which a target must get no new work. Unit: seconds.
 LEAVING_GRACE_S = 3.0
 
 
 class Verdict(Struct, kw_only=True):
-    """Whether a promise held.
+    """Result of the check of one invariant.
 
     Parameters
     ----------
     promise : str
+        The invariant.
     n_checked : int
-        Occasions on which the promise could have been broken; 0 shows nothing.
+        Number of occasions on which the invariant could have been violated; 0 shows nothing.
     broken : list of str
-        The first occasions on which it was.
+        A line for each violation.
     """
 
     promise: str
@@ -39,16 +40,16 @@
 
     @property
     def held(self):
-        """Whether the promise was never broken."""
+        """Whether the invariant was never violated."""
         return not self.broken
 
     @property
-    def word(self):
-        """What a report says: a run without an occasion shows nothing.
+    def status_text(self):
+        """Verdict in a report: ``BROKEN``, ``held``, or ``not checked`` without an occasion.
 
         Examples
         --------
-        >>> Verdict(promise="no task in two places", n_checked=0, broken=[]).word
+        >>> Verdict(promise="no task in two places", n_checked=0, broken=[]).status_text
         'not checked'
         """
         if self.broken:
@@ -57,17 +58,19 @@
 
 
 def check_history(events, *, config_limit_s=5.0, instances=None, ended_at=None):
-    """Return the verdicts on `events`, in the order of the brief's promises.
+    """Return one verdict for each invariant, in a fixed order.
 
     Parameters
     ----------
     events : list of events
+        In the order in which they happened.
     config_limit_s : float, default=5.0
-        Time within which an accepted revision is in force everywhere. Unit: seconds.
+        Time within which an accepted revision must be in force everywhere. Unit: seconds.
     instances : iterable of str, default=None
-        Instances that must have every accepted revision in force; None: those that ever had one.
+        Instances on which every accepted revision must come into force. None stands for the
+        instances on which any revision was in force.
     ended_at : float, default=None
-        End of the run; revisions accepted less than the limit before it are not judged.
+        End of the run. Revisions accepted less than `config_limit_s` before it are not checked.
     """
     return [
         _check_capacity(events),
@@ -82,7 +85,7 @@
 
 
 def _check_capacity(events):
-    """No worker is given more than it holds."""
+    """Check that the runs on a worker never need more than its capacity."""
     capacity = {}
     used = defaultdict(lambda: [0] * len(RESOURCE_NAMES))
     needs = {}
@@ -107,12 +110,12 @@
 
 
 def _task_of(item):
-    """Return the task of an attempt's identity ``CUSTOMER/JOB/INDEX/ATTEMPT``."""
+    """Return the task in an attempt's identifier ``CUSTOMER/JOB/INDEX/ATTEMPT``."""
     return item.rsplit("/", 1)[0]
 
 
 def _check_one_place(events):
-    """A task never runs in two places at once."""
+    """Check that two attempts of a task never run at the same time."""
     running = defaultdict(set)
     broken = []
     n_checked = 0
@@ -130,7 +133,7 @@
 
 
 def _check_whole_answers(events):
-    """A caller gets the whole answer to its own request."""
+    """Check that each completed request gets its own complete answer, with the token sent."""
     broken = []
     n_checked = 0
     for event in events:
@@ -143,9 +146,9 @@
 
 
 def _check_not_run(events):
-    """A request that was answered "not run" did not run, before or after the answer.
+    """Check that a request answered "not run" did not run, before or after the answer.
 
-    Of one that the caller repeated under its key another call may have run; it is not judged.
+    A request that was sent several times under one key is not checked: another call may have run.
     """
     refused = {}
     ran = set()
@@ -164,7 +167,7 @@
 
 
 def _check_at_most_once(events):
-    """A non-idempotent request runs at most once."""
+    """Check that a non-idempotent request runs at most once."""
     once = {event.token for event in events if isinstance(event, Sent) and not event.idempotent}
     runs = defaultdict(int)
     for event in events:
@@ -176,7 +179,7 @@
 
 
 def _check_leaving(events):
-    """A leaving target gets no new work after a few seconds."""
+    """Check that a leaving target gets no new work once `LEAVING_GRACE_S` is over."""
     leaving = {}
     broken = []
     n_checked = 0
@@ -193,7 +196,7 @@
 
 
 def _check_nothing_cut_off(events):
-    """No request in progress is cut off: each that was sent got exactly one final answer."""
+    """Check that no request is cut off: each request sent gets exactly one final answer."""
     answers = defaultdict(int)
     n_sent = defaultdict(int)
     broken = []
@@ -216,7 +219,10 @@
 
 
 def _check_config(events, limit, instances, ended_at):
-    """An accepted revision is in force everywhere in time, and no instance goes back."""
+    """Check that accepted revisions come into force in time, and that no instance goes back.
+
+    Revisions are compared within one incarnation of an instance.
+    """
     accepted = {}
     in_force = defaultdict(list)
     newest = {}
@@ -226,11 +232,11 @@
         match event:
             case ConfigAccepted(revision=revision):
                 accepted.setdefault(revision, event.at)
-            case ConfigInForce(instance=instance, incarnation=life, revision=revision):
+            case ConfigInForce(instance=instance, incarnation=incarnation_id, revision=revision):
                 n_checked += 1
-                if revision < newest.get((instance, life), 0):
+                if revision < newest.get((instance, incarnation_id), 0):
                     broken.append(f"{instance} went back to revision {revision}")
-                newest[instance, life] = revision
+                newest[instance, incarnation_id] = revision
                 in_force[instance].append((event.at, revision))
     names = set(in_force) if instances is None else set(instances)
     end = ended_at if ended_at is not None else max((event.at for event in events), default=0.0)
--- a/anvilflow/history/_recorder.py
+++ b/anvilflow/history/_recorder.py
@@ -1,4 +1,4 @@
-"""Events of a run, in the order in which they happened."""
+"""Events of a run, recorded in the order in which they happen."""
 
 from msgspec import Struct
 
@@ -10,14 +10,17 @@
 
 
 class WorkerKnown(_Event):
-    """A worker and what it holds."""
+    """A worker and its capacity."""
 
     worker: str
     capacity: Amounts
 
 
 class RunBegan(_Event):
-    """A worker began to run a request or an attempt of a task."""
+    """A worker began to run a request or an attempt of a task.
+
+    `item` identifies the request or the attempt; `task` is true for an attempt.
+    """
 
     worker: str
     item: str
@@ -35,7 +38,7 @@
 
 
 class Sent(_Event):
-    """A caller sent a request; `token` is unique in the run and goes with the payload."""
+    """A caller sent a request; `token` identifies it within the run and is in the payload."""
 
     token: str
     idempotent: bool
@@ -43,7 +46,7 @@
 
 
 class Answered(_Event):
-    """A caller got its answer; `echoed` is the token that came back with it."""
+    """A caller got an answer; `echoed` is the token returned in the result."""
 
     token: str
     outcome: str
@@ -51,19 +54,19 @@
 
 
 class TargetLeaving(_Event):
-    """The platform's list says that a worker is leaving."""
+    """The platform's list marks a worker as leaving."""
 
     worker: str
 
 
 class ConfigAccepted(_Event):
-    """An operator was told that a revision is accepted."""
+    """A revision was accepted, and the acceptance reported to the operator."""
 
     revision: int
 
 
 class ConfigInForce(_Event):
-    """An instance, in one life of it, has a revision in force."""
+    """A revision came into force on an incarnation of an instance."""
 
     instance: str
     incarnation: str
@@ -71,7 +74,7 @@
 
 
 class History:
-    """Collects events; parts and stand-ins of one process share it.
+    """Collects events; shared by the parts and stand-ins of one process.
 
     Parameters
     ----------
--- a/benchmarks/standins_process.py
+++ b/benchmarks/standins_process.py
@@ -151,7 +151,7 @@
         counts = {phase: phases.count(phase) for phase in sorted(set(phases))}
         print(f"jobs by phase: {counts}")
         for verdict in verdicts:
-            line = f"{verdict.word:11} {verdict.promise} ({verdict.n_checked} checked)"
+            line = f"{verdict.status_text:11} {verdict.promise} ({verdict.n_checked} checked)"
             print(line, verdict.broken[:2])
         return all(verdict.held for verdict in verdicts) and set(phases) == {"completed"}
 
