--- a/anvilflow/cli/__init__.py
+++ b/anvilflow/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The ``anvilflow`` command line."""
 
 from ._declared import find_declarations, plan_changes
 from ._program import Program, main
--- a/anvilflow/cli/_api.py
+++ b/anvilflow/cli/_api.py
@@ -1,4 +1,4 @@
-"""Calls of the command line to a cell."""
+"""HTTP client of the command line for the instances of a cell."""
 
 import treq
 from twisted.internet.defer import inlineCallbacks
@@ -11,22 +11,22 @@
 
 
 class RemoteError(AnvilflowError):
-    """A coded error that an instance answered with."""
+    """Coded error returned by an instance."""
 
     def __init__(self, body):
         super().__init__(body["message"], details=body.get("details"))
         self.code = body["code"]
-        self.exit_status = _EXIT_BY_CODE.get(self.code, 1)
+        self.exit_status = _EXIT_STATUS_BY_CODE.get(self.code, 1)
 
 
 _KINDS: list[type[AnvilflowError]] = [
     kind for kind in AnvilflowError.__subclasses__() if kind is not RemoteError
 ]
-_EXIT_BY_CODE = {kind.code: kind.exit_status for kind in _KINDS}
+_EXIT_STATUS_BY_CODE = {kind.code: kind.exit_status for kind in _KINDS}
 
 
 class Api:
-    """Talks to one of several instances; the next is tried when one cannot be reached.
+    """Calls the first reachable one of several instances.
 
     Parameters
     ----------
@@ -39,8 +39,8 @@
 
     @inlineCallbacks
     def call(self, method, path, *, value=None, params=None, timeout=_TIMEOUT_S):
-        """Make a call; the Deferred fires with the decoded answer, or fails with a coded error."""
-        last = None
+        """Send a call; the Deferred fires with the decoded answer, or fails with a coded error."""
+        last_error = None
         for address in self.addresses:
             try:
                 response = yield treq.request(
@@ -52,11 +52,11 @@
                 )
                 body = yield treq.content(response)
             except Exception as exc:
-                last = exc
+                last_error = exc
                 continue
             return _decoded(response.code, body)
         raise PlatformUnavailableError(
-            f"no instance answered at {', '.join(self.addresses)}: {last!r}"
+            f"no instance answered at {', '.join(self.addresses)}: {last_error!r}"
         )
 
     @inlineCallbacks
@@ -77,7 +77,7 @@
     try:
         value = decode_lenient(body)
     except ValueError as exc:
-        raise CallError(f"the answer is no JSON (status {status})") from exc
+        raise CallError(f"the answer is not JSON (HTTP status {status})") from exc
     if isinstance(value, dict) and "error" in value:
         raise RemoteError(value["error"])
     return value
--- a/anvilflow/cli/_declared.py
+++ b/anvilflow/cli/_declared.py
@@ -1,4 +1,4 @@
-"""Declarations kept in files, and what applying them would change."""
+"""Declarations in files, and the changes that applying them makes."""
 
 from pathlib import Path
 
@@ -16,12 +16,24 @@
 )
 from ..utils import to_builtins
 
-#: Order in which kinds are applied: what is referred to comes first.
-_ORDER = ["Policy", "Customer", "Workload"]
+#: Order in which kinds are applied: a kind comes after the kinds that it refers to.
+_APPLY_ORDER = ["Policy", "Customer", "Workload"]
 
 
 class Planned(Struct, kw_only=True):
-    """One resource of the files against what is in force."""
+    """Planned change of one declared resource.
+
+    Parameters
+    ----------
+    key : str
+    action : {"create", "replace", "unchanged"}
+    changed : dict of str to list
+        Old and new value of each field that a replacement changes.
+    value : dict
+        The declared resource.
+    revision : int
+        Revision in force; 0 when the resource is not in the cell.
+    """
 
     key: str
     action: str
@@ -31,12 +43,13 @@
 
 
 def find_declarations(paths):
-    """Read the resources in files and folders.
+    """Return the resources declared in files and folders.
 
     Parameters
     ----------
     paths : iterable of str
-        Files of JSON with comments, each one resource or a list; folders are read whole.
+        Files of JSON with comments, each with one resource or a list of them; or folders, whose
+        ``.json`` files are all read, at any depth.
 
     Returns
     -------
@@ -50,19 +63,19 @@
     """
     found = {}
     for path in paths:
-        for file in _files(Path(path)):
-            for resource in _read(file):
+        for file in _list_files(Path(path)):
+            for resource in _read_resources(file):
                 key = resource_key(resource)
                 if key in found:
                     raise DeclarationError(f"{file}: {key} is declared twice")
                 found[key] = resource
     ordered = dict(sorted(found.items(), key=lambda item: (_rank(item[1]), item[0])))
-    _check_together(ordered)
+    _check_references_within(ordered)
     return ordered
 
 
 def plan_changes(resources, current):
-    """Compare declared resources with what is in force.
+    """Return a :class:`Planned` change for each declared resource.
 
     Parameters
     ----------
@@ -93,10 +106,10 @@
 
 
 def _rank(resource):
-    return _ORDER.index(type(resource).__name__)
+    return _APPLY_ORDER.index(type(resource).__name__)
 
 
-def _files(path):
+def _list_files(path):
     if path.is_dir():
         files = sorted(path.rglob("*.json"))
         if not files:
@@ -107,7 +120,7 @@
     return [path]
 
 
-def _read(file):
+def _read_resources(file):
     try:
         values = json5.loads(file.read_text(encoding="utf-8"), allow_duplicate_keys=False)
     except (OSError, ValueError, RecursionError) as exc:
@@ -124,8 +137,11 @@
     return resources
 
 
-def _check_together(resources):
-    """Check references among the declared; those to what is only in the cell are checked there."""
+def _check_references_within(resources):
+    """Check the references between declared resources.
+
+    References to resources that are only in the cell are checked by the cell.
+    """
     catalog = Catalog()
     for revision, (key, resource) in enumerate(resources.items(), start=1):
         catalog.apply(Change(revision=revision, key=key, value=to_builtins(resource)))
--- a/anvilflow/cli/_output.py
+++ b/anvilflow/cli/_output.py
@@ -1,4 +1,4 @@
-"""Printing results as JSON or as a table."""
+"""Output of results as JSON or as a table, and of errors."""
 
 import sys
 
@@ -9,12 +9,12 @@
 
 
 def check_output(output):
-    """Raise AF301 unless `output` names a form."""
+    """Raise AF301 unless `output` is ``json`` or ``table``."""
     return check_one_of(output, {"json", "table"}, "--output", error=CallError)
 
 
 def show(rows, columns, output):
-    """Print rows, which are dicts, in the form asked for."""
+    """Print `rows`, a list of dicts, as JSON or as a table of `columns`."""
     if output == "json":
         print(msgspec.json.format(msgspec.json.encode(rows), indent=2).decode())
         return
--- a/anvilflow/cli/_program.py
+++ b/anvilflow/cli/_program.py
@@ -17,13 +17,14 @@
 from ._output import check_output, complain, show
 
 _ENDED = {"completed", "failed", "cancelled"}
-_NO_CELL = "name an instance with {} or the variable {}; allowed: IP:PORT[,IP:PORT...]"
+_ADDRESS_MISSING = "name an instance with {} or the variable {}; allowed: IP:PORT[,IP:PORT...]"
 
 
-def _run(make):
+def _run(make_deferred):
     """Run a Deferred-returning function on the reactor; return its result or raise its failure.
 
-    The reactor is imported here: commands without network need none, and importing installs it.
+    The reactor is imported here because importing installs it, and commands without network need
+    none.
     """
     from twisted.internet import reactor
     from twisted.internet.defer import maybeDeferred
@@ -31,7 +32,7 @@
     results = []
 
     def begin():
-        done = maybeDeferred(make, reactor)
+        done = maybeDeferred(make_deferred, reactor)
         done.addBoth(results.append)
         done.addBoth(lambda _: reactor.stop())
 
@@ -44,7 +45,7 @@
 
 
 class Program:
-    """Anvilflow: a scheduler for unlike workloads on one shared cluster.
+    """Anvilflow: a scheduler for mixed workloads on one shared cluster.
 
     Exit status: 0 done; 3 bad settings; 4 bad declaration or call; 5 not found; 6 conflict;
     7 revision gone; 8 not ready; 9 not run; 10 platform; 12 a part kept failing.
@@ -61,10 +62,10 @@
         checked = load_settings(str(settings))
         print(f"{settings}: good; instance {checked.instance.name}")
 
-    # Without it, fire would take an id such as 00000000000000e1 for a number.
+    # Keeps fire from parsing an id such as 00000000000000e1 as a number.
     @SetParseFn(str)
     def explain(self, job, *logs):
-        """Say what happened to a job, from the logs of instances.
+        """Explain what happened to a job, from the logs of instances.
 
         Example: anvilflow explain 5c0e7a21d94b36f8 a1.log a2.log
         """
@@ -81,7 +82,7 @@
             print(line)
 
     def apply(self, *paths, operators=None, dry_run=False, output="table"):
-        """Bring declarations into force, and print the difference.
+        """Apply declarations and print what changes.
 
         Example: anvilflow apply examples/lonestar --operators 127.0.0.1:7201 --dry-run
         """
@@ -99,7 +100,7 @@
         _show_plan(plan, output)
 
     def get(self, kind, name=None, *, customer="", operators=None, output="table"):
-        """List a kind of resource, or show one. Example: anvilflow get Workload lookup"""
+        """List the resources of a kind, or show one. Example: anvilflow get Workload lookup"""
         check_output(output)
         api = Api(addresses=_address(operators, "operators"))
         if name is not None:
@@ -112,8 +113,13 @@
             return
         found, _ = _run(lambda _: api.list_all(kind, customer=customer))
         rows = [
-            {"key": key, "revision": at, "phase": value.get("phase", ""), "value": value}
-            for key, (at, value) in found.items()
+            {
+                "key": key,
+                "revision": revision,
+                "phase": value.get("phase", ""),
+                "value": value,
+            }
+            for key, (revision, value) in found.items()
         ]
         show(rows, ["key", "revision", "phase"], output)
 
@@ -142,13 +148,13 @@
         show([answer], list(answer), "table")
 
     def cancel(self, customer, job, *, callers=None):
-        """Cancel a job and wait until nothing of it runs. Example: anvilflow cancel big job-7"""
+        """Cancel a job and wait until no task of it runs. Example: anvilflow cancel big job-7"""
         api = Api(addresses=_address(callers, "callers"))
         answer = _run(lambda reactor: _cancel(reactor, api, customer, job))
         print(f"{customer}/{job} {answer['phase']}")
 
     def status(self, customer=None, job=None, *, operators=None, callers=None, output="table"):
-        """Show the instances, the slowest configuration first; or a job and why it waits.
+        """Show the instances, the oldest configuration first; or a job and why it waits.
 
         Example: anvilflow status --operators 127.0.0.1:7201,127.0.0.1:7202
         """
@@ -164,7 +170,7 @@
         addresses = _address(operators, "operators").split(",")
         for address in addresses:
             parse_address(address, "--operators")
-        rows = _run(lambda _: _statuses(addresses))
+        rows = _run(lambda _: _fetch_statuses(addresses))
         show(rows, ["instance", "revision", "ready", "leaving", "workers", "error"], output)
 
     def dump(self, instance):
@@ -173,23 +179,23 @@
         show(_run(lambda _: api.call("GET", "/dump")), [], "json")
 
     def demo(self, *, deployment="lonestar", seconds=20.0, random_state=0):
-        """Run a whole cell in this process and check what must hold. Example: anvilflow demo"""
+        """Run a whole cell in this process and check its invariants. Example: anvilflow demo"""
         from ..demo import run_demo
 
-        held = _run(
+        all_passed = _run(
             lambda reactor: run_demo(
                 reactor, deployment=deployment, seconds=seconds, random_state=random_state
             )
         )
-        if not held:
-            raise RequestError("a promise was broken; see the table above")
+        if not all_passed:
+            raise RequestError("a check failed; see the lines marked BROKEN above")
 
 
 def _address(given, name):
     variable = f"ANVILFLOW_{name.upper()}"
     address = given or os.environ.get(variable)
     if not address:
-        raise CallError(_NO_CELL.format(f"--{name}", variable))
+        raise CallError(_ADDRESS_MISSING.format(f"--{name}", variable))
     return ",".join(map(str, address)) if isinstance(address, tuple | list) else str(address)
 
 
@@ -252,32 +258,35 @@
     from twisted.internet.defer import ensureDeferred
 
     async def steps():
-        at, seen = after, 0
-        while count is None or seen < count:
-            params = {"timeout_s": "10", **({"after": str(at)} if at is not None else {})}
+        revision, n_printed = after, 0
+        while count is None or n_printed < count:
+            params = {
+                "timeout_s": "10",
+                **({"after": str(revision)} if revision is not None else {}),
+            }
             answer = await api.call("GET", "/v1/watch", params=params, timeout=20)
             for change in answer["changes"]:
                 show([change], [], "json")
-                seen += 1
-            at = answer["revision"]
+                n_printed += 1
+            revision = answer["revision"]
 
     return ensureDeferred(steps())
 
 
-def _pause(reactor, seconds):
+def _sleep(reactor, seconds):
     from twisted.internet.task import deferLater
 
     return deferLater(reactor, seconds, lambda: None)
 
 
-async def _until_ended(reactor, api, customer, name):
+async def _wait_until_ended(reactor, api, customer, name):
     while True:
         answer = await api.call("GET", f"/v1/jobs/{customer}/{name}")
         now = (answer.get("now") or {}).get("tasks", {})
         print(f"{customer}/{name} {answer['phase']} {now}", file=sys.stderr)
         if answer["phase"] in _ENDED:
             return answer
-        await _pause(reactor, 0.5)
+        await _sleep(reactor, 0.5)
 
 
 def _submit(reactor, api, job, wait):
@@ -286,7 +295,7 @@
     async def steps():
         answer = await api.call("POST", "/v1/jobs", value=job)
         if wait:
-            answer = await _until_ended(reactor, api, answer["customer"], answer["name"])
+            answer = await _wait_until_ended(reactor, api, answer["customer"], answer["name"])
         return answer
 
     return ensureDeferred(steps())
@@ -297,12 +306,12 @@
 
     async def steps():
         await api.call("POST", f"/v1/jobs/{customer}/{name}/cancel")
-        return await _until_ended(reactor, api, customer, name)
+        return await _wait_until_ended(reactor, api, customer, name)
 
     return ensureDeferred(steps())
 
 
-def _statuses(addresses):
+def _fetch_statuses(addresses):
     from twisted.internet.defer import ensureDeferred
 
     async def steps():
@@ -318,7 +327,7 @@
 
 
 def main(argv=None):
-    """Run the command line; the process's exit status tells scripts how it ended."""
+    """Run the command line; the exit status is that of the error, or 130 after an interrupt."""
     try:
         fire.Fire(Program(), command=argv, name="anvilflow")
     except AnvilflowError as exc:
--- a/anvilflow/cli/tests/test_cli.py
+++ b/anvilflow/cli/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what it refuses, and what applying would change."""
+"""Refusals of the command line, and the plan of ``anvilflow apply``."""
 
 import json
 
@@ -30,13 +30,13 @@
     return status, captured.out, captured.err.splitlines()
 
 
-def test_what_is_referred_to_is_applied_first(tmp_path):
+def test_referenced_resources_are_applied_first(tmp_path):
     write(tmp_path, "a.json", WORKLOAD, CUSTOMER)
     write(tmp_path, "b.json", POLICY)
     assert list(find_declarations([tmp_path])) == ["Policy/p", "Customer/showrooms", "Workload/w"]
 
 
-def test_plan_shows_only_what_differs(tmp_path):
+def test_plan_shows_only_differences(tmp_path):
     found = find_declarations([write(tmp_path, "a.json", CUSTOMER, POLICY)])
     stored = to_builtins(found["Customer/showrooms"]) | {"priority": 100}
     current = {"Customer/showrooms": (7, stored)}
@@ -58,7 +58,7 @@
         ([{"kind": "Job", "name": "j", "customer": "c", "workload": "w", "tasks": ["x"]}], "jobs"),
     ],
 )
-def test_bad_declarations_end_with_one_coded_line(tmp_path, capsys, values, part):
+def test_invalid_declarations_print_one_coded_error_line(tmp_path, capsys, values, part):
     path = write(tmp_path, "a.json", *values)
     status, out, errors = run(capsys, "apply", path, "--dry-run")
     assert (status, out, len(errors)) == (4, "", 1)
@@ -75,7 +75,7 @@
         (["get", "Workload", "--operators", "127.0.0.1:1", "--output", "xml"], 4, "AF301"),
     ],
 )
-def test_bad_calls_end_with_one_coded_line(monkeypatch, capsys, args, status, code):
+def test_invalid_calls_print_one_coded_error_line(monkeypatch, capsys, args, status, code):
     monkeypatch.delenv("ANVILFLOW_OPERATORS", raising=False)
     ended, _, errors = run(capsys, *args)
     assert ended == status
--- a/anvilflow/reference/__init__.py
+++ b/anvilflow/reference/__init__.py
@@ -1,4 +1,4 @@
-"""Pages that are written from the code, so that they cannot drift from it."""
+"""Reference pages generated from the code, so that they match it."""
 
 from ._capacity import render_capacity
 from ._pages import PAGES, render_pages
--- a/anvilflow/reference/__main__.py
+++ b/anvilflow/reference/__main__.py
@@ -1,4 +1,4 @@
-"""Write the generated pages: ``python -m anvilflow.reference pages docs/operators``."""
+"""Writes the generated pages: ``python -m anvilflow.reference pages docs/operators``."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 def capacity(sweep, template, page):
-    """Write the page of capacity from what a sweep showed."""
+    """Write the capacity page from the results of a sweep."""
     Path(page).write_text(render_capacity(sweep, template), encoding="utf-8")
 
 
--- a/anvilflow/reference/_capacity.py
+++ b/anvilflow/reference/_capacity.py
@@ -1,7 +1,8 @@
-"""The page of capacity at the users' target, worked out from one sweep over sizes of a cell.
+"""The capacity page: figures of one sweep over cell sizes, extrapolated to the users' target.
 
-The sweep plays one day at three sizes; ``docs/sweep.json`` keeps what it showed. A figure is taken
-to grow with a power of the number of instances, the slope of a line through the logarithms.
+The sweep runs one scenario at three sizes of a cell; ``docs/sweep.json`` holds its results. A
+figure is assumed to grow with a power of the number of instances. The exponent is the slope of the
+line fitted to the logarithms.
 """
 
 import statistics
@@ -12,17 +13,20 @@
 import msgspec
 from msgspec import Struct
 
-#: Instances for which the page says where the figures lead: those of the sites' own target.
+#: Number of instances to which the figures are extrapolated: the target of the users' sites.
 TARGET_INSTANCES = 951
 
-#: Powers between which a figure is carried on: more than the square is not to be believed of three
-#: points, and no figure is taken to shrink.
-MIN_POWER = 0.0
-MAX_POWER = 2.0
+#: Bounds of the exponent in an extrapolation: three points are too few to conclude that a figure
+#: grows faster than the square, and no figure is assumed to shrink.
+MIN_EXPONENT = 0.0
+MAX_EXPONENT = 2.0
 
 
 class Figure(Struct, kw_only=True, forbid_unknown_fields=True):
-    """One figure of a sweep, by size; `middle` is of all instances, `busiest` of the highest."""
+    """One figure of a sweep, with a value for each size.
+
+    `middle` is the middle value over all instances, `busiest` that of the highest instance.
+    """
 
     name: str
     unit: str
@@ -31,7 +35,7 @@
 
 
 class Sweep(Struct, kw_only=True, forbid_unknown_fields=True):
-    """What one sweep showed, by size."""
+    """Results of one sweep, with a value for each size."""
 
     commit: str
     date: str
@@ -43,67 +47,67 @@
 
 
 def read_sweep(path):
-    """Return the :class:`Sweep` of a file."""
+    """Read a :class:`Sweep` from a file."""
     return msgspec.convert(json5.loads(Path(path).read_text(encoding="utf-8")), Sweep)
 
 
-def power(instances, values):
-    """Return the power of the number of instances with which a figure grows.
+def growth_exponent(instances, values):
+    """Return the exponent `k` of a figure that grows with the number of instances to the power `k`.
 
     Examples
     --------
-    >>> power([10, 100], [3.0, 30.0])
+    >>> growth_exponent([10, 100], [3.0, 30.0])
     1.0
     """
     line = statistics.linear_regression([log(n) for n in instances], [log(v) for v in values])
     return round(line.slope, 2)
 
 
-def at_target(instances, values):
-    """Return where a figure leads at the target, carried on from the largest size."""
-    grown = min(MAX_POWER, max(MIN_POWER, power(instances, values)))
-    return values[-1] * (TARGET_INSTANCES / instances[-1]) ** grown
+def extrapolate_to_target(instances, values):
+    """Return a figure extrapolated from the largest size to `TARGET_INSTANCES`."""
+    exponent = min(MAX_EXPONENT, max(MIN_EXPONENT, growth_exponent(instances, values)))
+    return values[-1] * (TARGET_INSTANCES / instances[-1]) ** exponent
 
 
 def render_capacity(sweep, template):
-    """Return the text of the page.
+    """Return the text of the capacity page.
 
     Parameters
     ----------
     sweep : str or Path
-        What a sweep showed, JSON with comments.
+        File with the results of a sweep, JSON with comments.
     template : str or Path
-        The page with places for what is worked out.
+        File with the text of the page and format fields for the computed values.
     """
-    shown = read_sweep(sweep)
+    data = read_sweep(sweep)
     return (
         Path(template)
         .read_text(encoding="utf-8")
         .format(
-            commit=shown.commit,
-            date=shown.date,
+            commit=data.commit,
+            date=data.date,
             target=TARGET_INSTANCES,
-            days="\n".join(_days(shown)),
-            figures="\n".join(_figures(shown)),
+            days="\n".join(_scenario_rows(data)),
+            figures="\n".join(_figure_rows(data)),
         )
     )
 
 
-def _days(shown):
+def _scenario_rows(data):
     yield "| instances | workers | worth | rules broken |"
     yield "|---|---|---|---|"
-    rows = zip(shown.instances, shown.workers, shown.worth, shown.broken, strict=True)
+    rows = zip(data.instances, data.workers, data.worth, data.broken, strict=True)
     for n_instances, n_workers, worth, broken in rows:
         yield f"| {n_instances} | {n_workers} | {worth} | {broken} |"
 
 
-def _figures(shown):
-    sizes = " | ".join(f"{n}" for n in shown.instances)
+def _figure_rows(data):
+    sizes = " | ".join(f"{n}" for n in data.instances)
     yield f"| figure | unit | {sizes} | power | at {TARGET_INSTANCES} |"
-    yield f"|---|---|{'---|' * len(shown.instances)}---|---|"
-    for figure in shown.figures:
+    yield f"|---|---|{'---|' * len(data.instances)}---|---|"
+    for figure in data.figures:
         pairs = zip(figure.middle, figure.busiest, strict=True)
         cells = " | ".join(f"{middle:g} / {busiest:g}" for middle, busiest in pairs)
-        grows = power(shown.instances, figure.busiest)
-        leads = at_target(shown.instances, figure.busiest)
-        yield f"| {figure.name} | {figure.unit} | {cells} | {grows} | {leads:,.0f} |"
+        exponent = growth_exponent(data.instances, figure.busiest)
+        estimate = extrapolate_to_target(data.instances, figure.busiest)
+        yield f"| {figure.name} | {figure.unit} | {cells} | {exponent} | {estimate:,.0f} |"
--- a/anvilflow/reference/_pages.py
+++ b/anvilflow/reference/_pages.py
@@ -1,4 +1,4 @@
-"""The pages of settings, declarations, error codes and metrics."""
+"""The reference pages on settings, declarations, error codes and metrics."""
 
 import inspect
 
@@ -72,6 +72,7 @@
     return "\n".join([*lines, ""])
 
 
+#: Labels of metrics that have no samples in a new registry.
 _LABELS = {"anvilflow_requests": "outcome", "anvilflow_placements": "kind"}
 
 PAGES = {
