--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -394,7 +394,7 @@
         scheduler.is_store_unavailable = self.is_store_unavailable
         scheduler.n_advice_callers = self._advice_dispatcher.n_advice_callers
         scheduler.policy = self.context.settings.scheduling
-        for seconds in scheduler.take_first_starts():
+        for seconds in scheduler.take_first_start_delays():
             self.context.meters.timed("first_start", seconds)
         n_wanted = self._fleet.n_wanted_starts()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -202,7 +202,7 @@
     """
     if not safeguard:
         monkeypatch.setattr(
-            Scheduler, "_may_be_heard_of", lambda self, job_id: job_id not in self.jobs
+            Scheduler, "_may_appear_in_feed", lambda self, job_id: job_id not in self.jobs
         )
     cell = make_cell(n_instances=4, n_workers=2)
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -175,6 +175,6 @@
     """
     if not safeguard:
         monkeypatch.setattr(
-            Scheduler, "_may_be_heard_of", lambda self, job_id: job_id not in self.jobs
+            Scheduler, "_may_appear_in_feed", lambda self, job_id: job_id not in self.jobs
         )
     assert (DrawnDay(seed=seed).play() == []) is safeguard
--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -294,7 +294,7 @@
     it still runs.
     """
     if not safeguard:
-        monkeypatch.setattr(_handover, "_is_hidden", _is_hidden_if_heard)
+        monkeypatch.setattr(_handover, "_is_unlisted", _is_hidden_if_heard)
     cell = make_cell(n_instances=4, n_workers=3)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="30.0 done 1000")
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -58,7 +58,7 @@
     told to forget the end of an unknown job, the task would be started a second time.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_take_up", lambda self, job, now: [])
+        monkeypatch.setattr(Scheduler, "_apply_early_reports", lambda self, job, now: [])
     cell = make_cell(n_instances=3, n_workers=3)
     cell.advance(0.5)
     leader, gateway = cell.leader(), cell.other()
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -251,7 +251,7 @@
     and what the worker listed was not heard by anybody. Registered again, the worker had two.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "lost_leases", _forget_workers)
+        monkeypatch.setattr(Scheduler, "drop_lapsed_runs", _forget_workers)
     cell = make_cell(n_instances=2, n_workers=3)
     cell.advance(1.0)
     cell.worker_faults["i-0"].silent = True
--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -130,7 +130,7 @@
     rack = step.spec.data_rack
     with_room, others = [], []
     for worker in workers:
-        is_sound = worker.accepts(now) and not worker.n_bad
+        is_sound = worker.accepts(now) and not worker.n_consecutive_failures
         is_sound = is_sound and not is_slow(worker, scheduler.policy)
         has_room = is_sound and n_places(worker) > 0
         (with_room if has_room else others).append(worker)
--- a/anvilflow/jobs/_crash_history.py
+++ b/anvilflow/jobs/_crash_history.py
@@ -13,15 +13,15 @@
 #: Workers lost while running a task, at any age of the run, after which it is not restarted.
 MAX_LOST_WORKERS = 4
 
-#: A trial run passes at this age plus :data:`TRIAL_TIMES` the longest age of a run that was lost
-#: early or during a trial. Unit: seconds.
-TRIAL_S = 0.5
-TRIAL_TIMES = 1.25
+#: A trial run passes at this age plus :data:`TRIAL_AGE_FACTOR` times the longest age of a run that
+#: was lost early or during a trial. Unit: seconds.
+MIN_TRIAL_S = 0.5
+TRIAL_AGE_FACTOR = 1.25
 
-#: A run clears the task's history at this age or at :data:`CLEARED_TIMES` the longest age that a
-#: lost run reached, whichever is greater. Unit: seconds.
-CLEARED_S = 4.0
-CLEARED_TIMES = 3.0
+#: A run clears the task's history at this age or at :data:`CLEARED_AGE_FACTOR` times the longest
+#: age that a lost run reached, whichever is greater. Unit: seconds.
+MIN_CLEARED_S = 4.0
+CLEARED_AGE_FACTOR = 3.0
 
 #: Upper bound of the age at which a run clears the history. Unit: seconds.
 MAX_CLEARED_S = 60.0
@@ -146,12 +146,12 @@
     def trial_s(self):
         """Age at which a trial run passes. Unit: seconds."""
         early_losses = [each for each in self.losses if each.is_soon]
-        return TRIAL_S + TRIAL_TIMES * _longest_age_s(early_losses)
+        return MIN_TRIAL_S + TRIAL_AGE_FACTOR * _longest_age_s(early_losses)
 
     @property
     def cleared_s(self):
         """Age at which a run clears the history. Unit: seconds."""
-        cleared_s = max(CLEARED_S, CLEARED_TIMES * _longest_age_s(self.losses))
+        cleared_s = max(MIN_CLEARED_S, CLEARED_AGE_FACTOR * _longest_age_s(self.losses))
         return min(MAX_CLEARED_S, cleared_s)
 
     def may_start(self, now):
@@ -222,13 +222,13 @@
         lost = self.lost_runs.get(worker_id)
         return lost is not None and lost.fate is LossOutcome.PLACED
 
-    def forget(self, worker_id):
+    def remove(self, worker_id):
         """Remove the entry of a worker that is alive or whose run ended normally."""
         return self.lost_runs.pop(worker_id, None) is not None
 
-    def forget_placed(self, worker_id):
+    def remove_placed(self, worker_id):
         """Remove the entry of a worker unless the worker was lost."""
-        return self._is_placed(worker_id) and self.forget(worker_id)
+        return self._is_placed(worker_id) and self.remove(worker_id)
 
 
 def _longest_age_s(lost_runs):
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -11,7 +11,7 @@
 COMMON_CAUSE_S = 1.0
 
 #: Time for which the loss of a worker is remembered. Unit: seconds.
-REMEMBER_LOSS_S = 60.0
+LOSS_RETENTION_S = 60.0
 
 
 class CrashTracker(TrialTracker):
@@ -60,7 +60,7 @@
             else:
                 self._lose_run(run, fate, now)
         if worker.is_leaving:
-            self._forget_worker(worker_id)
+            self._remove_from_histories(worker_id)
             return []
         self._note_lost_worker(worker, False, now)
         return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
@@ -91,13 +91,13 @@
                 _, task = self.find_task(name)
                 self.begin_trial(task, run)
 
-    def lost_leases(self, now):
+    def drop_lapsed_runs(self, now):
         """Forget the runs of silent workers whose leases have surely ended.
 
         The workers stay until their sessions end, see `worker_ended`: one that answers again must
         be heard, or what it still begins would run on under leases that nobody watches.
         """
-        if self.grace_period.waited(now):
+        if self.grace_period.give_up_waiting(now):
             self._bound_unconfirmed_leases()
         for worker in list(self.workers.values()):
             has_left = worker.has_left(now)
@@ -128,7 +128,7 @@
         )
         self._lost_workers[worker_id] = (at, had_trial or had_trial_before)
         for other, (lost_at, _) in list(self._lost_workers.items()):
-            if now - lost_at > REMEMBER_LOSS_S:
+            if now - lost_at > LOSS_RETENTION_S:
                 del self._lost_workers[other]
 
     def _has_common_cause(self, worker_id, history):
@@ -173,9 +173,9 @@
         )
         return [note, *self._fail_crashing_jobs(now)]
 
-    def _forget_worker(self, worker_id):
+    def _remove_from_histories(self, worker_id):
         for suspect in self.suspects.values():
-            suspect.history.forget(worker_id)
+            suspect.history.remove(worker_id)
 
     def _fail_crashing_jobs(self, now):
         """Fail the jobs of tasks that crash workers."""
@@ -224,7 +224,7 @@
         if suspect.task.name in worker.runs or lost.fate is LossOutcome.CRASHED:
             return []
         if worker.confirmed and not worker.unreachable:
-            suspect.history.forget(lost.worker_id)
+            suspect.history.remove(lost.worker_id)
             suspect.step.job.touch(now)
             suspect.step.job.wake()
         elif lost.fate is LossOutcome.PLACED and worker.is_lapsed(now):
--- a/anvilflow/jobs/_grace_period.py
+++ b/anvilflow/jobs/_grace_period.py
@@ -9,7 +9,7 @@
 
 #: Time after which a leader that has not heard more than half of the workers waits no longer: those
 #: that are gone for good must not keep it waiting for ever. Unit: seconds.
-LONGEST_S = 15.0
+MAX_CONFIRMATION_WAIT_S = 15.0
 
 
 class GracePeriod:
@@ -47,25 +47,25 @@
         self.leases_over_at = None
         self.commands_expired_version = None
         if term == 1:
-            self._set_ends(now - COMMAND_S - lease_end(0.0, lease_s))
+            self._set_expiry(now - COMMAND_S - lease_end(0.0, lease_s))
             self.commands_expired_version = 0
 
     def worker_found(self, worker_id):
         """A worker has registered."""
         self.missing.discard(worker_id)
 
-    def heard(self, n_heard, n_workers, now):
+    def workers_confirmed(self, n_confirmed, n_workers, now):
         """Take how many of the workers have answered; return True when that settles it."""
         n_all = max(self.n_workers, n_workers + len(self.missing))
-        if self.leases_over_at is None and 2 * n_heard > n_all:
-            self._set_ends(now)
+        if self.leases_over_at is None and 2 * n_confirmed > n_all:
+            self._set_expiry(now)
             return True
         return False
 
-    def waited(self, now):
+    def give_up_waiting(self, now):
         """Give up waiting for more workers after a long time; return True when it does."""
-        if self.leases_over_at is None and now >= self.began_at + LONGEST_S:
-            self._set_ends(now)
+        if self.leases_over_at is None and now >= self.began_at + MAX_CONFIRMATION_WAIT_S:
+            self._set_expiry(now)
             return True
         return False
 
@@ -85,7 +85,7 @@
         """
         return self.commands_expired_version is None or version <= self.commands_expired_version
 
-    def _set_ends(self, now):
+    def _set_expiry(self, now):
         self.commands_expired_at = now + COMMAND_S
         self.leases_over_at = lease_end(self.commands_expired_at, self.lease_s)
 
@@ -94,6 +94,6 @@
         return self.leases_over_at is not None and now >= self.leases_over_at
 
     @property
-    def knows_all(self):
+    def all_workers_known(self):
         """Whether every worker that may run something is known."""
         return self.is_known and not self.missing
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -12,8 +12,8 @@
 #: Workers and runs in the row at the most: some 45 KB of the 64 KB that a row holds. A larger row
 #: would be refused, and with it all that the leader records. Those left out only make the next
 #: leader wait for their leases.
-MAX_WORKERS = 60
-MAX_RUNS = 600
+MAX_HANDOVER_WORKERS = 60
+MAX_HANDOVER_RUNS = 600
 
 
 class HandoverWorker(Struct, kw_only=True):
@@ -47,12 +47,12 @@
             handover.append(
                 HandoverWorker(info=worker.info, runs=runs + list(worker.orphan_runs), fresh=fresh)
             )
-        elif _is_hidden(worker):
+        elif _is_unlisted(worker):
             handover.append(HandoverWorker(info=worker.info))
     return _bounded(handover)
 
 
-def _is_hidden(worker):
+def _is_unlisted(worker):
     """Whether the next leader would not find the worker by itself.
 
     Also one that has not answered this leader: it is known from the former leader's row alone, and
@@ -64,9 +64,9 @@
 def _bounded(handover):
     kept = []
     n_runs = 0
-    for worker in handover[:MAX_WORKERS]:
+    for worker in handover[:MAX_HANDOVER_WORKERS]:
         n_runs += len(worker.runs or ())
-        if n_runs > MAX_RUNS:
+        if n_runs > MAX_HANDOVER_RUNS:
             break
         kept.append(worker)
     return kept
--- a/anvilflow/jobs/_ranking.py
+++ b/anvilflow/jobs/_ranking.py
@@ -109,7 +109,15 @@
     failed_here = worker.info.worker_id in task.avoid
     slow = scheduler.policy.avoids_slow and is_slow(worker, scheduler.policy)
     risk = _work_at_risk(task, worker)
-    return (risk, failed_here, far, worker.n_bad, slow, _disturbs(spec, worker), worker.cpu_free)
+    return (
+        risk,
+        failed_here,
+        far,
+        worker.n_consecutive_failures,
+        slow,
+        _disturbs(spec, worker),
+        worker.cpu_free,
+    )
 
 
 def _work_at_risk(task, worker):
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -13,7 +13,7 @@
 RUNS_PER_TERM = 1000
 
 #: Pause between tries to start tasks of a job whose payload the store does not have. Unit: seconds.
-NO_PAYLOAD_S = 5.0
+NO_PAYLOAD_RETRY_S = 5.0
 
 #: First wait before a worker that refused or failed without reason gets work again, doubled each
 #: time. Unit: seconds.
@@ -25,10 +25,10 @@
 MAX_DOUBLINGS = 4
 
 #: Ends without success in a row after which a worker rests. Two may be one job's own fault.
-BAD_ENDS = 2
+FAILURES_BEFORE_BACKOFF = 2
 
 #: Ends that a worker tells of in one report at the most, as its contract states.
-ENDS_PER_REPORT = 500
+MAX_ENDS_PER_REPORT = 500
 
 #: Time that a run of an unknown job goes on before it is stopped: the job may have been accepted
 #: while leaders changed, and is heard of by the next reading of the feed. Unit: seconds.
@@ -42,9 +42,9 @@
     moves the job on.
     """
 
-    def take_first_starts(self):
+    def take_first_start_delays(self):
         """Return how long jobs waited that have begun since the last call. Unit: seconds."""
-        taken, self._first_starts = self._first_starts, []
+        taken, self._first_start_delays = self._first_start_delays, []
         return taken
 
     # Reports
@@ -61,17 +61,17 @@
         for end in report.ended:
             if end.number > worker.last_ended:
                 worker.last_ended = end.number
-                actions += self._ended(worker, end, now)
+                actions += self._handle_end(worker, end, now)
         listed = set()
         for item in report.active:
             listed.add((item.task, item.run_id))
-            actions += self._active(worker, item, report.clock_s, now)
+            actions += self._handle_active_run(worker, item, report.clock_s, now)
         for key in set(worker.orphan_runs) - listed:
             del worker.orphan_runs[key]
             self.freed.add(worker_id)
         # A worker tells of a limited number of ends at once. Where more wait, as after a long
         # outage of the store, a run that is not listed may have ended among the rest.
-        is_whole = len(report.ended) < ENDS_PER_REPORT
+        is_whole = len(report.ended) < MAX_ENDS_PER_REPORT
         for run in list(worker.runs.values()) if is_whole else ():
             answered = run.state in ("running", "barred")
             if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
@@ -84,11 +84,11 @@
         actions += pace_background_tasks(self, worker, now)
         return actions
 
-    def _active(self, worker, item, clock_s, now):
+    def _handle_active_run(self, worker, item, clock_s, now):
         run = worker.runs.get(item.task)
         if run is not None and run.run_id == item.run_id:
             if run.state in ("starting", "unknown"):
-                self._began(run, now)
+                self._note_begun(run, now)
             _note_progress(run, item, clock_s, now)
             run.load = item.load
             run.checkpoint = item.checkpoint or run.checkpoint
@@ -111,12 +111,12 @@
             run.percent = run.first_percent = item.percent
             run.load = item.load
             run.checkpoint = item.checkpoint
-            self._began(run, now)
+            self._note_begun(run, now)
             return []
         orphan = worker.orphan_runs.setdefault(
             (item.task, item.run_id), OrphanRun(item=item, now=now)
         )
-        waits = self._may_become_known(item.task) and now - orphan.seen_at < UNKNOWN_JOB_S
+        waits = self._may_become_known(item.task) and now - orphan.first_listed_at < UNKNOWN_JOB_S
         if orphan.stopped or waits:
             return []
         orphan.stopped = True
@@ -126,7 +126,7 @@
             )
         ]
 
-    def _may_be_heard_of(self, job_id):
+    def _may_appear_in_feed(self, job_id):
         """Whether a job is unknown, and may yet come with the next reading of the feed.
 
         Runs of ended jobs must not wait for that: a leader that takes over after a cancelling would
@@ -136,12 +136,12 @@
 
     def _may_become_known(self, name):
         job_id = name.split(".", 1)[0]
-        if self._may_be_heard_of(job_id):
+        if self._may_appear_in_feed(job_id):
             return True
         job = self.jobs.get(job_id)
         return job is not None and not job.is_ended and job.is_to_open(name)
 
-    def _take_up(self, job, now):
+    def _apply_early_reports(self, job, now):
         """Count what workers told of tasks before they were known: ends, then runs.
 
         Called when a job is heard of and when an occurrence of it becomes due. Without it the tasks
@@ -153,7 +153,7 @@
             for pending in worker.ack_queue:
                 step, task = self.find_task(pending.end.task)
                 if pending.change is None and task is not None and step.job is job:
-                    actions += self._settle_end(worker, step, task, pending.end, None, now)
+                    actions += self._apply_end(worker, step, task, pending.end, None, now)
                     pending.change = job.change
         self._adopt_orphan_runs(job, now)
         return actions
@@ -173,7 +173,7 @@
                 del worker.orphan_runs[key]
                 run = self._make_run(worker, step, task, orphan.item.run_id, now)
                 run.is_adopted = True
-                self._began(run, now)
+                self._note_begun(run, now)
                 if orphan.stopped:
                     run.state = "barred"
 
@@ -182,10 +182,10 @@
         floor = (self.term - 1) * RUNS_PER_TERM if step.job.inherited else 0
         run = self._make_run(worker, step, task, max(task.run_id, floor) + 1, now)
         run.resumes = bool(task.checkpoint)
-        run.is_whole = not run.resumes
+        run.is_full_run = not run.resumes
         return run
 
-    def _began(self, run, now):
+    def _note_begun(self, run, now):
         run.state = "running"
         run.has_begun = True
         run.began_at = run.reported_at = now
@@ -193,7 +193,7 @@
         if not job.begun:
             job.begun = True
             if not job.inherited and not job.spec.n_occurrences:
-                self._first_starts.append(now - job.accepted_at)
+                self._first_start_delays.append(now - job.accepted_at)
             if not job.is_ended:
                 job.state = JobState.RUNNING
         _, task = self.find_task(run.task)
@@ -207,7 +207,7 @@
 
     # Ends
 
-    def _ended(self, worker, end, now):
+    def _handle_end(self, worker, end, now):
         if worker.orphan_runs.pop((end.task, end.run_id), None) is not None:
             self.freed.add(worker.info.worker_id)
         run = worker.runs.get(end.task)
@@ -221,30 +221,30 @@
             return []
         if run is not None:
             task.runs.pop(worker.info.worker_id, None)
-            self.forget_placed(run, now)
-        actions = self._settle_end(worker, step, task, end, run, now)
+            self.remove_placed(run, now)
+        actions = self._apply_end(worker, step, task, end, run, now)
         # Also of a job that has ended, until that is durable: a leader that takes over before knows
         # neither of the job's end nor of this one, and would run the task again.
         if step.job.change > step.job.recorded_change:
             worker.ack_queue.append(PendingEnd(end=end, change=step.job.change, now=now))
         return actions
 
-    def _settle_end(self, worker, step, task, end, run, now):
+    def _apply_end(self, worker, step, task, end, run, now):
         """Count the end of a task's run; `run` is None when this leader has not known the run."""
         task.run_id = max(task.run_id, end.run_id)
         actions = []
         if not step.job.is_ended:
             if end.checkpoint and step.spec.checkpointing:
                 task.checkpoint = end.checkpoint
-            actions = self._judge_end(worker, step, task, end, run, now)
-            self._wait_again(step, task, now)
+            actions = self._apply_outcome(worker, step, task, end, run, now)
+            self._return_to_waiting(step, task, now)
         return actions
 
-    def _judge_end(self, worker, step, task, end, run, now):
+    def _apply_outcome(self, worker, step, task, end, run, now):
         match end.how:
             case "done":
-                self._worker_did_well(worker)
-                if run is not None and run.is_whole and not step.spec.gang:
+                self._note_worker_success(worker)
+                if run is not None and run.is_full_run and not step.spec.gang:
                     note_duration(worker, step, now - run.began_at)
                 return self._task_done(step, task, now)
             case "failed":
@@ -275,7 +275,7 @@
 
     def _task_failed(self, worker, step, task, run_id, now):
         job = step.job
-        self._worker_did_badly(worker, now)
+        self._note_worker_failure(worker, now)
         task.avoid.add(worker.info.worker_id)
         if step.spec.long_running:
             return []
@@ -288,17 +288,19 @@
             return self._finish(job, JobState.FAILED, now)
         return []
 
-    def _worker_did_well(self, worker):
-        worker.n_bad = 0
+    def _note_worker_success(self, worker):
+        worker.n_consecutive_failures = 0
         worker.retry_at = 0.0
 
-    def _worker_did_badly(self, worker, now):
+    def _note_worker_failure(self, worker, now):
         """Keep work off a worker that fails what others would do, a little longer each time."""
-        worker.n_bad += 1
-        if worker.n_bad >= BAD_ENDS:
-            n_doublings = min(MAX_DOUBLINGS, worker.n_bad - BAD_ENDS)
-            rest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**n_doublings)
-            worker.retry_at = now + rest
+        worker.n_consecutive_failures += 1
+        if worker.n_consecutive_failures >= FAILURES_BEFORE_BACKOFF:
+            n_doublings = min(
+                MAX_DOUBLINGS, worker.n_consecutive_failures - FAILURES_BEFORE_BACKOFF
+            )
+            backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**n_doublings)
+            worker.retry_at = now + backoff_s
 
     # Answers to calls
 
@@ -309,7 +311,7 @@
             return []
         if outcome == "started":
             if run.state == "starting":
-                self._began(run, now)
+                self._note_begun(run, now)
                 run.sent_at = now
             return []
         if outcome == "unknown":
@@ -324,9 +326,9 @@
             if step is not None:
                 step.tickets.pop(worker_id, None)
         elif outcome == "no payload":
-            run.job.hold_back_until = now + NO_PAYLOAD_S
+            run.job.hold_back_until = now + NO_PAYLOAD_RETRY_S
         elif outcome in ("room", "unhealthy"):
-            self._worker_did_badly(run.worker, now)
+            self._note_worker_failure(run.worker, now)
             run.worker.retry_at = max(run.worker.retry_at, now + FIRST_BACKOFF_S)
         self._drop_run(run, now)
         return self._stop_rest_of_gang(task, run_id, now)
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -84,7 +84,7 @@
             inherited=self.grace_period.may_have_begun(version),
         )
         # Nothing of the job runs here yet, so that its ends cannot have anything stopped.
-        self._take_up(self.jobs[spec.job_id], now)
+        self._apply_early_reports(self.jobs[spec.job_id], now)
         self.restore_suspects(self.jobs[spec.job_id])
         return True
 
@@ -191,7 +191,7 @@
         job = self.jobs.get(pending.job_id)
         if job is None:
             is_known = pending.change is not None or pending.job_id in self.ended
-            return is_known or self._jobs_known_at >= pending.told_at
+            return is_known or self._jobs_known_at >= pending.received_at
         if pending.change is not None:
             return job.recorded_change >= pending.change
         if job.is_ended:
@@ -224,8 +224,8 @@
         for job in self.jobs.values():
             is_timed = job.spec.n_occurrences and not job.is_ended
             if is_timed and job.open_occurrences(now, wall_now):
-                actions += self._take_up(job, now)
-        self.lost_leases(now)
+                actions += self._apply_early_reports(job, now)
+        self.drop_lapsed_runs(now)
         actions += self.review_suspects(now)
         return actions + self._move_leaving_runs(now) + self._stop_stalled_runs(now)
 
@@ -252,7 +252,7 @@
             task.avoid.add(run.worker.info.worker_id)
             task.n_given_up += 1
             if why == "stands still":
-                self._worker_did_badly(run.worker, now)
+                self._note_worker_failure(run.worker, now)
             else:
                 run.worker.slowness = max(run.worker.slowness, GIVEN_UP_SLOWNESS)
             if self.policy.copies and step.spec.speculative and not has_copy(task):
@@ -306,6 +306,6 @@
             return False
         if not job.inherited or self.grace_period.is_over(now):
             return True
-        return self.grace_period.knows_all and all(
+        return self.grace_period.all_workers_known and all(
             worker.confirmed or worker.runs_known for worker in self.workers.values()
         )
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -179,14 +179,14 @@
         if not names:
             self.trials.pop(worker_id, None)
 
-    def forget_placed(self, run, now):
+    def remove_placed(self, run, now):
         """Remove a recorded start whose run ended without the loss of its worker."""
         suspect = self.suspects.get(run.task)
-        if suspect is not None and suspect.history.forget_placed(run.worker.info.worker_id):
+        if suspect is not None and suspect.history.remove_placed(run.worker.info.worker_id):
             suspect.step.job.touch(now)
 
     def _drop_run(self, run, now):
-        self.forget_placed(run, now)
+        self.remove_placed(run, now)
         super()._drop_run(run, now)
 
     def _free(self, run):
@@ -212,7 +212,7 @@
     def _may_miss_runs(self):
         return (
             self._has_lost_unconfirmed_worker
-            or not self.grace_period.knows_all
+            or not self.grace_period.all_workers_known
             or not all(worker.confirmed for worker in self.workers.values())
         )
 
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -72,11 +72,11 @@
         When it was first listed. Unit: seconds.
     """
 
-    __slots__ = ("item", "seen_at", "stopped")
+    __slots__ = ("first_listed_at", "item", "stopped")
 
     def __init__(self, *, item, now):
         self.item = item
-        self.seen_at = now
+        self.first_listed_at = now
         self.stopped = False
 
 
@@ -92,12 +92,12 @@
         When it was told. Unit: seconds.
     """
 
-    __slots__ = ("change", "end", "told_at")
+    __slots__ = ("change", "end", "received_at")
 
     def __init__(self, *, end, change, now):
         self.end = end
         self.change = change
-        self.told_at = now
+        self.received_at = now
 
     @property
     def job_id(self):
@@ -110,7 +110,7 @@
 
     `percent_clock` and `reported_clock` are the worker's time of the last progress and of the last
     report, None before the first one; `reported_at` is our time of the last report, and
-    `first_percent` the progress that the run began with. `is_whole` says that this leader
+    `first_percent` the progress that the run began with. `is_full_run` says that this leader
     started it, from nothing: only then its length is that of the task. `is_sent` says that the
     start was sent, `has_begun` that the worker has confirmed the run, `is_adopted` that another
     leader started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
@@ -122,9 +122,9 @@
         "first_percent",
         "has_begun",
         "is_adopted",
+        "is_full_run",
         "is_sent",
         "is_trial",
-        "is_whole",
         "job",
         "load",
         "pace",
@@ -156,7 +156,7 @@
         self.reported_at = now
         self.reported_clock = None
         self.resumes = False
-        self.is_whole = False
+        self.is_full_run = False
         self.is_sent = False
         self.has_begun = False
         self.is_adopted = False
@@ -212,7 +212,7 @@
         "leaves_at",
         "listed",
         "memory_free",
-        "n_bad",
+        "n_consecutive_failures",
         "orphan_runs",
         "retry_at",
         "runs",
@@ -237,7 +237,7 @@
         self.leaves_at = None
         self.last_ended = 0
         self.ack_queue = []
-        self.n_bad = 0
+        self.n_consecutive_failures = 0
         self.retry_at = 0.0
         self.slowness = 1.0
         self.cpu_free = info.cpu_milli
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -47,7 +47,7 @@
         self.planned_whole_at = float("-inf")
         self.nameless = set()
         self.pace_changed_at = {}
-        self._first_starts = []
+        self._first_start_delays = []
         self.began_at = now
         self.grace_period = grace_period or GracePeriod(term=term, lease_s=lease_s, now=now)
         self.registry_version = 0
@@ -86,8 +86,8 @@
         self.needs_whole_plan = True
         worker.runs_known = False
         worker.lease_over_at = lease_end(now, self.lease_s)
-        n_heard = sum(each.confirmed for each in self.workers.values())
-        if self.grace_period.heard(n_heard, len(self.workers), now):
+        n_confirmed = sum(each.confirmed for each in self.workers.values())
+        if self.grace_period.workers_confirmed(n_confirmed, len(self.workers), now):
             self._bound_unconfirmed_leases()
 
     def worker_unlisted(self, worker_id):
@@ -176,9 +176,9 @@
             return
         if task.runs.get(run.worker.info.worker_id) is run:
             del task.runs[run.worker.info.worker_id]
-        self._wait_again(step, task, now)
+        self._return_to_waiting(step, task, now)
 
-    def _wait_again(self, step, task, now):
+    def _return_to_waiting(self, step, task, now):
         if task.state is not TaskState.DONE and not task.runs:
             if self._take_orphan_run(step, task, now):
                 return
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -112,7 +112,7 @@
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
     scheduler.worker_unreachable(start.worker_id, 0.1)
-    scheduler.lost_leases(9.0)
+    scheduler.drop_lapsed_runs(9.0)
     assert list(scheduler.suspects) == [TASK]
     scheduler.report(start.worker_id, make_report(), requested_at=9.5, now=9.5)
     scheduler.review_suspects(9.6)
--- a/anvilflow/jobs/tests/test_grace_period.py
+++ b/anvilflow/jobs/tests/test_grace_period.py
@@ -7,7 +7,7 @@
     """Jobs are told apart by the version of their rows, however late this leader hears of them."""
     grace_period = GracePeriod(term=2, lease_s=3.0, now=0.0, n_workers=3)
     grace_period.row_written(10, 0.1)
-    grace_period.heard(2, 3, 0.2)
+    grace_period.workers_confirmed(2, 3, 0.2)
     grace_period.row_written(20, 0.2 + COMMAND_S - 0.01)
     assert grace_period.may_have_begun(21)
     grace_period.row_written(30, 0.2 + COMMAND_S)
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -93,7 +93,7 @@
     answer_started(scheduler, [start], 0.0)
     actions = watch(scheduler, start, [30, 30, 30, 30, 30])
     assert [action.why for action in actions if isinstance(action, StopRun)] == ["stands still"]
-    assert scheduler.workers[start.worker_id].n_bad >= 1
+    assert scheduler.workers[start.worker_id].n_consecutive_failures >= 1
 
 
 def test_run_that_makes_progress_is_left_alone():
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -157,7 +157,7 @@
     *ended, first, second = starts
     for start in ended:
         run = scheduler.find_task(start.task)[1].runs[start.worker_id]
-        run.is_whole = False
+        run.is_full_run = False
         run.resumes = kind == "resumed"
         end = RunEnd(number=1, task=start.task, run_id=1, how="done", checkpoint="")
         scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=0.1, now=0.1)
@@ -178,7 +178,7 @@
     task.checkpoint = "c"
     scheduler.plan(0.2, 0.2)
     runs = [run for worker in scheduler.workers.values() for run in worker.runs.values()]
-    assert [run.is_whole for run in runs] == [False, False]
+    assert [run.is_full_run for run in runs] == [False, False]
     assert len(runs) == 2
 
 
@@ -191,5 +191,5 @@
     scheduler = make_scheduler(n_workers=1)
     worker = scheduler.workers["w0"]
     for _ in range(1_100):
-        scheduler._worker_did_badly(worker, 0.0)
+        scheduler._note_worker_failure(worker, 0.0)
     assert worker.retry_at == 8.0
--- a/anvilflow/jobs/tests/test_unknown_tasks.py
+++ b/anvilflow/jobs/tests/test_unknown_tasks.py
@@ -21,12 +21,12 @@
 )
 
 
-def end_of(task, *, number=1, how="done"):
+def make_end(task, *, number=1, how="done"):
     """Return the end of a first run."""
     return RunEnd(number=number, task=task, run_id=1, how=how, checkpoint="")
 
 
-def tell(scheduler, *ends, now=0.1, worker_id="w0"):
+def report_ends(scheduler, *ends, now=0.1, worker_id="w0"):
     """Let a worker tell of ends; return the number up to which it may forget them."""
     scheduler.report(worker_id, make_report(ended=ends), requested_at=now, now=now)
     return scheduler.acknowledged(scheduler.workers[worker_id])
@@ -39,7 +39,7 @@
     end forgotten, the task would be started a second time.
     """
     scheduler = make_scheduler()
-    assert tell(scheduler, end_of(TASK)) == 0
+    assert report_ends(scheduler, make_end(TASK)) == 0
     assert add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000), now=0.2) == []
     worker = scheduler.workers["w0"]
     assert scheduler.acknowledged(worker) == 0
@@ -55,7 +55,7 @@
     end was told shows the job, or there is none. One that was begun before shows nothing.
     """
     scheduler = make_scheduler()
-    assert tell(scheduler, end_of(TASK), now=5.0) == 0
+    assert report_ends(scheduler, make_end(TASK), now=5.0) == 0
     scheduler.jobs_read(4.9)
     assert scheduler.acknowledged(scheduler.workers["w0"]) == 0
     scheduler.jobs_read(5.1)
@@ -66,8 +66,8 @@
     """A worker forgets all ends up to a number: a later one that is durable has to wait."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000), job_id=OTHER_JOB)
-    ends = [end_of(TASK, number=1), end_of(start.task, number=2)]
-    assert tell(scheduler, *ends, worker_id=start.worker_id) == 0
+    ends = [make_end(TASK, number=1), make_end(start.task, number=2)]
+    assert report_ends(scheduler, *ends, worker_id=start.worker_id) == 0
     worker = scheduler.workers[start.worker_id]
     scheduler.recorded(OTHER_JOB, scheduler.jobs[OTHER_JOB].change, 0.2)
     assert scheduler.acknowledged(worker) == 0
@@ -81,14 +81,14 @@
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     scheduler.cancel_job("00000000000000a1", 0.1)
     scheduler.recorded("00000000000000a1", scheduler.jobs["00000000000000a1"].change, 0.2)
-    assert tell(scheduler, end_of(start.task), worker_id=start.worker_id) == 1
+    assert report_ends(scheduler, make_end(start.task), worker_id=start.worker_id) == 1
 
 
 def test_full_report_of_unknown_ends_is_kept_whole_and_counts():
     """Five hundred ends of a wide job are told before the job is heard of, and none is lost."""
     scheduler = make_scheduler(n_workers=1)
-    ends = [end_of(f"00000000000000a1.0.0.{each}", number=each + 1) for each in range(500)]
-    assert tell(scheduler, *ends) == 0
+    ends = [make_end(f"00000000000000a1.0.0.{each}", number=each + 1) for each in range(500)]
+    assert report_ends(scheduler, *ends) == 0
     starts = add_job(scheduler, StepSpec(n_tasks=502, cpu_milli=1000), now=0.2)
     assert [start.task for start in starts] == [
         f"00000000000000a1.0.0.{each}" for each in (500, 501)
@@ -102,8 +102,8 @@
         RunEnd(number=number, task=TASK, run_id=number, how="failed", checkpoint="")
         for number in (1, 2, 3)
     ]
-    assert tell(scheduler, *ends[:1]) == 0
-    assert tell(scheduler, *ends, now=0.15) == 0
+    assert report_ends(scheduler, *ends[:1]) == 0
+    assert report_ends(scheduler, *ends, now=0.15) == 0
     assert add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000), now=0.2) == []
     [job] = scheduler.dirty_jobs()
     assert job.is_ended and len(job.steps[0, 0].tasks[0].failed_runs) == 3
@@ -113,7 +113,7 @@
     """A worker refuses a number that is not higher, and two failures as run 1 would count once."""
     scheduler = make_scheduler()
     end = RunEnd(number=1, task=TASK, run_id=3, how="failed", checkpoint="")
-    assert tell(scheduler, end) == 0
+    assert report_ends(scheduler, end) == 0
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000), now=0.2)
     assert start.run_id == 4
 
@@ -127,7 +127,7 @@
     """
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.0)
-    assert tell(scheduler, end_of(TASK)) == 0
+    assert report_ends(scheduler, make_end(TASK)) == 0
     worker = scheduler.workers["w0"]
     scheduler.jobs_read(0.2)
     assert scheduler.acknowledged(worker) == 0
@@ -164,5 +164,5 @@
     """A worker names a task beyond its job's last occurrence, or none of ours."""
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.0)
-    ends = [end_of(f"{TIMED.job_id}.3.0.0", number=1), end_of(TIMED.job_id, number=2)]
-    assert tell(scheduler, *ends) == 2
+    ends = [make_end(f"{TIMED.job_id}.3.0.0", number=1), make_end(TIMED.job_id, number=2)]
+    assert report_ends(scheduler, *ends) == 2
