--- a/anvilflow/jobs/_crash_history.py
+++ b/anvilflow/jobs/_crash_history.py
@@ -1,4 +1,4 @@
-"""History of the workers lost while running a task, and the limits applied to it."""
+"""History of the workers lost while running a task, and limits that it sets on restarts."""
 
 from enum import StrEnum
 
@@ -7,7 +7,7 @@
 #: A crash counts as early when its run was last listed below this age. Unit: seconds.
 EARLY_CRASH_S = 2.0
 
-#: Early crashes on different machines after which a task is taken as the cause.
+#: Early crashes on different machines (addresses) after which the task is taken as their cause.
 MAX_EARLY_CRASHES = 2
 
 #: Workers lost while running a task, at any age of the run, after which it is not restarted.
@@ -23,26 +23,27 @@
 MIN_CLEARED_S = 4.0
 CLEARED_AGE_FACTOR = 3.0
 
-#: Upper bound of the age at which a run clears the history. Unit: seconds.
+#: Upper bound on the age at which a run clears the history. Unit: seconds.
 MAX_CLEARED_S = 60.0
 
-#: Longest delay of the next start while the fate of a lost worker is unknown. Unit: seconds.
+#: Longest delay of the next start while the outcome of a loss is unknown. Unit: seconds.
 MAX_UNKNOWN_WAIT_S = 8.0
 
-#: Backoff before the start that follows a second loss; doubles with each loss. Unit: seconds.
+#: Back-off before the start that follows a second loss; doubles with each loss. Unit: seconds.
 FIRST_BACKOFF_S = 1.0
 
 #: Maximum age of a recorded start, when a new leader takes over, at which the loss of its worker
-#: counts as an early crash. Allows for the duration of the takeover. Unit: seconds.
+#: counts as an early crash. Allows 1.0 s for the take-over. Unit: seconds.
 MAX_RECORDED_START_AGE_S = EARLY_CRASH_S + 1.0
 
 
 class LossOutcome(StrEnum):
     """State of a worker on which a task was started.
 
-    `PLACED`: not known to be lost, the run may be active. `UNKNOWN`: the worker is unreachable and
-    its lease has expired. `GONE`: it remained unreachable and its entry was removed; it may be
-    partitioned rather than dead. `CRASHED`: another incarnation answers at its address.
+    `PLACED`: not known to be lost; the run may be active. `UNKNOWN`: the worker is unreachable and
+    its lease has expired. `GONE`: the worker remained unreachable and its registry entry was
+    removed; it may be partitioned and still running. `CRASHED`: another incarnation answers at its
+    address.
     """
 
     PLACED = "placed"
@@ -52,7 +53,7 @@
 
 
 class LostRun(Struct, kw_only=True, omit_defaults=True):
-    """A run of a task and the fate of the worker it was started on.
+    """A run of a task and what became of the worker it was started on.
 
     Parameters
     ----------
@@ -85,7 +86,8 @@
     Attributes
     ----------
     lost_runs : dict of str to LostRun
-        By worker. Includes a recorded start (`LossOutcome.PLACED`) whose worker may still be lost.
+        By worker. Includes a recorded start (`LossOutcome.PLACED`), which was made durable before
+        it was sent and whose worker may still be lost.
     last_lost_at : float
         Time of the latest loss. Unit: seconds.
     is_trial_exempt : bool
@@ -131,7 +133,7 @@
 
     @property
     def crashes_workers(self):
-        """Whether the task is taken as the cause of the crashes, rather than its workers."""
+        """Whether the crashes are attributed to the task rather than to its workers."""
         early_crash_addresses = {
             each.address
             for each in self.lost_runs.values()
@@ -178,7 +180,7 @@
         )
 
     def confirm_start(self, worker_id):
-        """Note that a recorded start has begun; return whether there is such a start."""
+        """Note that the run of a recorded start has begun; return whether there is such a start."""
         lost = self.lost_runs.get(worker_id)
         if lost is None or lost.fate is not LossOutcome.PLACED or lost.has_begun:
             return False
@@ -186,7 +188,7 @@
         return True
 
     def mark_stale_starts(self, wall_now):
-        """Exclude recorded starts without a recent time from the early crashes.
+        """Exclude recorded starts that are not recent from the early crashes.
 
         Their runs may have continued, or completed, while the store was unavailable.
         """
@@ -195,8 +197,8 @@
             if lost.fate is LossOutcome.PLACED and not is_recent:
                 self.lost_runs[worker_id] = structs.replace(lost, is_soon=False)
 
-    def add_loss(self, run, fate, now):
-        """Add the loss of a run's worker."""
+    def add_loss(self, run, outcome, now):
+        """Add the loss of a run's worker, with its outcome."""
         info = run.worker.info
         if run.is_adopted:
             # The age of the run is unknown. A start that is still recorded has not been cleared by
@@ -211,7 +213,7 @@
             worker_id=info.worker_id,
             address=info.address,
             run_id=run.run_id,
-            fate=fate,
+            fate=outcome,
             max_age_s=EARLY_CRASH_S if run.is_adopted else round(run.max_age_s(now), 2),
             is_soon=is_soon,
             has_begun=has_begun,
@@ -223,7 +225,7 @@
         return lost is not None and lost.fate is LossOutcome.PLACED
 
     def remove(self, worker_id):
-        """Remove the entry of a worker that is alive or whose run ended normally."""
+        """Remove the entry of a worker that is reachable or whose run ended normally."""
         return self.lost_runs.pop(worker_id, None) is not None
 
     def remove_placed(self, worker_id):
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -7,10 +7,10 @@
 from ._job import JobState, TaskState
 from ._trial_tracker import TrialTracker
 
-#: Workers that are lost within this time of each other have a common cause. Unit: seconds.
+#: Workers lost within this time of each other are assumed to have a common cause. Unit: seconds.
 COMMON_CAUSE_S = 1.0
 
-#: Time for which the loss of a worker is remembered. Unit: seconds.
+#: Time for which the loss of a worker is kept for comparison with later ones. Unit: seconds.
 LOSS_RETENTION_S = 60.0
 
 
@@ -18,8 +18,8 @@
     """Counts the workers lost while running each task, and fails jobs whose tasks crash workers.
 
     Base of :class:`RunTracker`. A crash is confirmed only when another incarnation answers at the
-    worker's address: until then a crashed worker cannot be told from one that is partitioned and
-    still running.
+    worker's address. Until then a crashed worker cannot be distinguished from one that is
+    partitioned and still running.
     """
 
     def __init__(self, **values):
@@ -29,7 +29,7 @@
     # Lost workers
 
     def worker_ended(self, worker_id, now, *, is_replaced=False):
-        """Remove a worker that has ended: nothing runs there any more.
+        """Remove a worker that has ended, with its runs, none of which is active any more.
 
         Parameters
         ----------
@@ -37,8 +37,8 @@
         now : float
             Unit: seconds.
         is_replaced : bool, default=False
-            Whether another incarnation answers at its address. Otherwise the worker may be
-            partitioned.
+            Whether another incarnation answers at the worker's address. Otherwise the worker may
+            be partitioned.
 
         Returns
         -------
@@ -52,24 +52,24 @@
         self._has_lost_unconfirmed_worker = (
             self._has_lost_unconfirmed_worker or not worker.confirmed
         )
-        fate = LossOutcome.CRASHED if is_replaced else LossOutcome.GONE
+        outcome = LossOutcome.CRASHED if is_replaced else LossOutcome.GONE
         tasks = sorted(worker.runs)
         for run in list(worker.runs.values()):
             if worker.is_leaving:
                 self._drop_run(run, now)
             else:
-                self._lose_run(run, fate, now)
+                self._lose_run(run, outcome, now)
         if worker.is_leaving:
             self._remove_from_histories(worker_id)
             return []
         self._note_lost_worker(worker, False, now)
-        return self._set_loss_outcome(worker_id, fate, worker.info.address, tasks, now)
+        return self._set_loss_outcome(worker_id, outcome, worker.info.address, tasks, now)
 
     def adopt_unconfirmed_runs(self, worker_id, runs, now):
-        """Take on what an earlier leader named as running on a worker that it could not reach.
+        """Adopt the runs that an earlier leader listed on a worker that it could not reach.
 
-        The tasks stay there until the worker answers or its lease has surely ended; all others need
-        not wait for it.
+        Their tasks stay assigned to the worker until it answers or its lease has certainly
+        expired. All other tasks need not wait for the worker.
         """
         worker = self.workers[worker_id]
         worker.runs_known = worker.in_handover = True
@@ -82,7 +82,10 @@
             run.is_adopted = True
 
     def note_fresh_runs(self, worker_id, runs):
-        """Note which runs began shortly before the worker fell silent; they may be trial runs."""
+        """Note the runs that began shortly before the worker became unreachable.
+
+        Those of suspects become trial runs.
+        """
         for name, run_id in runs:
             run = self._find_run(worker_id, name, run_id)
             if run is not None:
@@ -92,10 +95,11 @@
                 self.begin_trial(task, run)
 
     def drop_lapsed_runs(self, now):
-        """Forget the runs of silent workers whose leases have surely ended.
+        """Drop the runs of unreachable workers whose leases have certainly expired.
 
-        The workers stay until their sessions end, see `worker_ended`: one that answers again must
-        be heard, or what it still begins would run on under leases that nobody watches.
+        The workers are kept until their sessions end, see `worker_ended`. The reports of a worker
+        that answers again must be processed: otherwise runs that it still begins would continue
+        under renewed leases without being tracked.
         """
         if self.grace_period.give_up_waiting(now):
             self._bound_unconfirmed_leases()
@@ -109,14 +113,14 @@
                 else:
                     self._lose_run(run, LossOutcome.UNKNOWN, now)
 
-    def _lose_run(self, run, fate, now):
+    def _lose_run(self, run, outcome, now):
         """Remove a run whose worker was lost, and add the loss to its task's history."""
         self._note_lost_worker(run.worker, run.is_trial, now)
         step, task = self.find_task(run.task)
         if task is not None and run.may_have_begun:
             suspect = self._add_suspect(step, task)
             if suspect is not None:
-                suspect.history.add_loss(run, fate, now)
+                suspect.history.add_loss(run, outcome, now)
                 self.require_trials(step)
                 step.job.touch(now)
         self._drop_run(run, now)
@@ -132,7 +136,7 @@
                 del self._lost_workers[other]
 
     def _has_common_cause(self, worker_id, history):
-        """Whether a worker was lost together with one that had no trial run, as in a power loss."""
+        """Whether a worker was lost together with one without a trial run, as in a power loss."""
         if worker_id not in self._lost_workers or not history.has_other_early_loss(worker_id):
             return False
         lost_at, _ = self._lost_workers[worker_id]
@@ -149,8 +153,8 @@
             if other not in history.lost_runs
         )
 
-    def _set_loss_outcome(self, worker_id, fate, address, tasks, now):
-        """Set the fate of a worker in the histories of all tasks that were running there."""
+    def _set_loss_outcome(self, worker_id, outcome, address, tasks, now):
+        """Set the outcome of a worker's loss in the histories of all tasks that ran there."""
         runs_and_losses = {}
         for suspect in self.suspects.values():
             lost = suspect.history.lost_runs.get(worker_id)
@@ -159,15 +163,15 @@
             if self._has_common_cause(worker_id, suspect.history):
                 lost = structs.replace(lost, is_soon=False)
                 suspect.history.lost_runs[worker_id] = lost
-            if lost.fate is not fate:
-                suspect.history.lost_runs[worker_id] = structs.replace(lost, fate=fate)
+            if lost.fate is not outcome:
+                suspect.history.lost_runs[worker_id] = structs.replace(lost, fate=outcome)
                 suspect.step.job.touch(now)
                 suspect.step.job.wake()
             runs_and_losses[suspect.task.name] = [lost.run_id, len(suspect.history.losses)]
         note = NoteLostWorker(
             worker_id=worker_id,
             address=address,
-            known_by="replaced" if fate is LossOutcome.CRASHED else "unlisted",
+            known_by="replaced" if outcome is LossOutcome.CRASHED else "unlisted",
             tasks=tasks or sorted(runs_and_losses),
             runs_and_losses=runs_and_losses,
         )
@@ -197,7 +201,7 @@
         return actions
 
     def review_suspects(self, now):
-        """Update the fates of lost workers and drop resolved suspects; return the actions."""
+        """Update the outcomes of losses and drop resolved suspects; return the actions."""
         actions = []
         if not self.suspects:
             return actions
--- a/anvilflow/jobs/_grace_period.py
+++ b/anvilflow/jobs/_grace_period.py
@@ -1,40 +1,41 @@
-"""When the orders of earlier leaders can do nothing any more."""
+"""Wait after a take-over until commands and leases of earlier leaders have expired."""
 
 from ._worker import lease_end
 
-#: Time for which a leader may go on ordering after it last knew that it is the leader: from a write
-#: under its row, or from more than half of its workers, which took its token. Workers are held each
-#: half second, and twice as often while the store is away. Unit: seconds.
+#: Time for which a leader may send commands after its leadership was last confirmed: by a write
+#: that is fenced by its row, or by more than half of its workers, which accepted its token. Leases
+#: are renewed every half second, twice as often while the store is unavailable. Unit: seconds.
 COMMAND_S = 0.7
 
-#: Time after which a leader that has not heard more than half of the workers waits no longer: those
-#: that are gone for good must not keep it waiting for ever. Unit: seconds.
+#: Time after which a leader stops waiting for answers from more than half of the workers: workers
+#: that are permanently lost must not block it forever. Unit: seconds.
 MAX_CONFIRMATION_WAIT_S = 15.0
 
 
 class GracePeriod:
-    """What a new leader must wait for before it may start what an earlier one may have started.
+    """Wait of a new leader before it starts tasks that an earlier leader may have started.
 
     Parameters
     ----------
     term : int
-        How many leaders there were, this one included.
+        Number of leaders so far, including this one.
     lease_s, now : float
         Unit: seconds.
     n_workers : int, default=0
-        Workers that the former leader held.
+        Number of workers that the former leader had.
     missing : frozenset of str, default=frozenset()
-        Workers that have left the registry since the former leader last wrote about it. They may
-        run on, and nobody knows where they are.
+        Workers that have left the registry since the version that the former leader last recorded.
+        They may still be running, at unknown addresses.
     is_known : bool, default=True
-        Whether the registry's history reaches back that far.
+        Whether the registry's history reaches back to that version.
 
     Notes
     -----
-    A former leader that lives and is cut off goes on for :data:`COMMAND_S` after it last knew that
-    it is the leader. Two leaders cannot both hear more than half of the workers: one that took the
-    new token refuses the old one. So `COMMAND_S` after this leader has heard that many, no order of
-    a former leader is sent any more, and a lease later none is in force.
+    A former leader that is running but partitioned continues to send commands for
+    :data:`COMMAND_S` after its leadership was last confirmed. Two leaders cannot both get answers
+    from more than half of the workers: a worker that accepted the new token refuses the old one. So
+    `COMMAND_S` after this leader has answers from that many workers, former leaders send no more
+    commands, and one lease later none of their leases is in force.
     """
 
     def __init__(self, *, term, lease_s, now, n_workers=0, missing=frozenset(), is_known=True):
@@ -51,11 +52,11 @@
             self.commands_expired_version = 0
 
     def worker_found(self, worker_id):
-        """A worker has registered."""
+        """Note that a worker has registered."""
         self.missing.discard(worker_id)
 
     def workers_confirmed(self, n_confirmed, n_workers, now):
-        """Take how many of the workers have answered; return True when that settles it."""
+        """Note how many workers have answered; return whether this bounds the earlier leases."""
         n_all = max(self.n_workers, n_workers + len(self.missing))
         if self.leases_over_at is None and 2 * n_confirmed > n_all:
             self._set_expiry(now)
@@ -63,14 +64,14 @@
         return False
 
     def give_up_waiting(self, now):
-        """Give up waiting for more workers after a long time; return True when it does."""
+        """Stop waiting for answers after the maximum wait; return whether this call did so."""
         if self.leases_over_at is None and now >= self.began_at + MAX_CONFIRMATION_WAIT_S:
             self._set_expiry(now)
             return True
         return False
 
     def row_written(self, version, sent_at):
-        """Take the version of the leader's row by a write that was sent at `sent_at`."""
+        """Note the version of the leader's row after a write that was sent at `sent_at`."""
         commands_expired = (
             self.commands_expired_at is not None and sent_at >= self.commands_expired_at
         )
@@ -80,8 +81,9 @@
     def may_have_begun(self, version):
         """Whether an earlier leader may have begun a job, by the version of the job's row.
 
-        Also one that was accepted after this leader began: until its orders are over, a former
-        leader may be told of it and start it on a worker that this one does not reach.
+        This includes a job that was accepted after this leader began: until its commands have
+        expired, a former leader may receive the job and start it on a worker that this leader does
+        not reach.
         """
         return self.commands_expired_version is None or version <= self.commands_expired_version
 
@@ -90,10 +92,10 @@
         self.leases_over_at = lease_end(self.commands_expired_at, self.lease_s)
 
     def is_over(self, now):
-        """Whether nothing runs any more that an earlier leader started and nobody has listed."""
+        """Whether all runs have ended that an earlier leader started and no worker has listed."""
         return self.leases_over_at is not None and now >= self.leases_over_at
 
     @property
     def all_workers_known(self):
-        """Whether every worker that may run something is known."""
+        """Whether every worker that may have active runs is known."""
         return self.is_known and not self.missing
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -1,31 +1,33 @@
-"""What the next leader could not find out by itself about workers, for the leader's row."""
+"""Workers that the next leader could not find or reach by itself, for the leader's row."""
 
 from msgspec import Struct
 
 from ._worker import WorkerInfo
 
-#: Silence after which a worker counts as dark. A call without an answer is made again at once, and
-#: one that was only lost has its answer in some 5 ms. What dies in this time and the 0.15 s between
-#: two writes of the row beside a dark worker costs 3.2 s of waiting. Unit: seconds.
+#: Time without an answer after which a worker is named as unreachable. An unanswered call is
+#: repeated at once, and if only the call was lost, the answer arrives in some 5 ms. If the leader
+#: fails within this time and the 0.15 s between two writes of its row, while a worker is
+#: unreachable, the next leader waits for 3.2 s. Unit: seconds.
 UNREACHABLE_S = 0.1
 
-#: Workers and runs in the row at the most: some 45 KB of the 64 KB that a row holds. A larger row
-#: would be refused, and with it all that the leader records. Those left out only make the next
-#: leader wait for their leases.
+#: Maximum numbers of workers and runs in the row: some 45 KB of the 64 KB that a row may hold. A
+#: larger row would be refused, and with it everything that the leader records. For workers that are
+#: left out, the next leader only has to wait until their leases expire.
 MAX_HANDOVER_WORKERS = 60
 MAX_HANDOVER_RUNS = 600
 
 
 class HandoverWorker(Struct, kw_only=True):
-    """A worker that the next leader cannot ask, or would not find in the registry.
+    """A worker that the next leader cannot reach, or would not find in the registry.
 
     Parameters
     ----------
     info : WorkerInfo
     runs : list of (str, int) or None
-        Task and run of all that may run there; None when the worker answers and can be asked.
+        Task and run number of all runs that may be active there; None for a reachable worker, which
+        lists its runs itself.
     fresh : list of int
-        Indices into `runs` of those that had begun shortly before the worker fell silent.
+        Indices into `runs` of those that began shortly before the worker became unreachable.
     """
 
     info: WorkerInfo
@@ -34,10 +36,10 @@
 
 
 def make_handover(scheduler, now):
-    """Return the :class:`HandoverWorker` of each worker that is dark or not registered any more.
+    """Return the :class:`HandoverWorker` of each worker that is unreachable or not registered.
 
-    The list is exact: it is written under the leader's row, and a worker in it gets no task before
-    a row without it is durable.
+    The list is exact: it is written with the leader's row, and a worker in it gets no task until a
+    row without that worker is durable.
     """
     handover = []
     for worker in scheduler.workers.values():
@@ -53,10 +55,11 @@
 
 
 def _is_unlisted(worker):
-    """Whether the next leader would not find the worker by itself.
+    """Whether the next leader would not find the worker in the registry.
 
-    Also one that has not answered this leader: it is known from the former leader's row alone, and
-    the next leader would start its tasks again while they still run.
+    This includes a worker that has not answered this leader. It is known only from the former
+    leader's row: if it were left out, the next leader would start its tasks again while they still
+    run.
     """
     return not worker.listed
 
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -1,4 +1,4 @@
-"""How runs begin and end, by what workers report; what a job makes of it is the scheduler's."""
+"""Tracking of how runs begin and end, from the reports and replies of workers."""
 
 from ._actions import StopRun
 from ._advice import has_ticket
@@ -8,51 +8,56 @@
 from ._stalled_runs import note_duration
 from ._worker import OrphanRun, PendingEnd
 
-#: Runs that one leader may start of a task before another leader's numbers begin. A new leader does
-#: not know how many its predecessor started, and a worker refuses a number that is not higher.
+#: Run numbers per task that each leader has before the next leader's numbers begin. A new leader
+#: has no count of the runs that its predecessor started, and a worker refuses a run number that is
+#: not higher than the last one.
 RUNS_PER_TERM = 1000
 
-#: Pause between tries to start tasks of a job whose payload the store does not have. Unit: seconds.
+#: Interval between attempts to start tasks of a job whose payload is missing from the store. Unit:
+#: seconds.
 NO_PAYLOAD_RETRY_S = 5.0
 
-#: First wait before a worker that refused or failed without reason gets work again, doubled each
-#: time. Unit: seconds.
+#: First back-off of a worker that refused or failed tasks without a reason; doubles with each
+#: consecutive failure, up to the maximum. Unit: seconds.
 FIRST_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 8.0
 
-#: Doublings after which it is the longest in any case: unbounded, the power passed what a float
-#: holds after 1,025 bad ends in a row, and the leader ended with an OverflowError.
+#: Doublings after which the back-off is at its maximum. Without this limit the power of two
+#: exceeded the range of a float after 1,025 consecutive failures, and the leader ended with an
+#: OverflowError.
 MAX_DOUBLINGS = 4
 
-#: Ends without success in a row after which a worker rests. Two may be one job's own fault.
+#: Consecutive failures from which a worker is in back-off. Two may be the fault of a single job.
 FAILURES_BEFORE_BACKOFF = 2
 
-#: Ends that a worker tells of in one report at the most, as its contract states.
+#: Maximum number of ends in one report of a worker, as the worker contract states.
 MAX_ENDS_PER_REPORT = 500
 
-#: Time that a run of an unknown job goes on before it is stopped: the job may have been accepted
-#: while leaders changed, and is heard of by the next reading of the feed. Unit: seconds.
+#: Time for which a run of an unknown job may continue before it is stopped: the job may have been
+#: accepted during a change of leaders, and then appears in the next read of the feed. Unit:
+#: seconds.
 UNKNOWN_JOB_S = 1.5
 
 
 class RunTracker(CrashTracker):
-    """What runs where: reports, ends, and answers to orders.
+    """Tracks the runs on each worker from its reports and its replies to commands.
 
-    Base of :class:`Scheduler`, which adds the jobs: a run is started for a job's task, and its end
-    moves the job on.
+    Base of :class:`Scheduler`, which adds the jobs: runs are started for the tasks of jobs, and
+    their ends advance the jobs.
     """
 
     def take_first_start_delays(self):
-        """Return how long jobs waited that have begun since the last call. Unit: seconds."""
+        """Return the waiting times of jobs that have begun since the last call. Unit: seconds."""
         taken, self._first_start_delays = self._first_start_delays, []
         return taken
 
     # Reports
 
     def report(self, worker_id, report, *, requested_at, now):
-        """Take a worker's answer to a hold that was sent at `requested_at`; return the stops.
+        """Process a worker's reply to a lease renewal; return the resulting actions.
 
-        Runs that were started or stopped after `requested_at` may be missing in it for that reason.
+        Runs that were started or stopped after `requested_at`, when the renewal was sent, may be
+        missing from the report for that reason alone.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -69,10 +74,10 @@
         for key in set(worker.orphan_runs) - listed:
             del worker.orphan_runs[key]
             self.freed.add(worker_id)
-        # A worker tells of a limited number of ends at once. Where more wait, as after a long
-        # outage of the store, a run that is not listed may have ended among the rest.
-        is_whole = len(report.ended) < MAX_ENDS_PER_REPORT
-        for run in list(worker.runs.values()) if is_whole else ():
+        # A report holds a limited number of ends. When more are pending, as after a long outage of
+        # the store, the end of a run that is not listed may be among those not reported yet.
+        is_complete = len(report.ended) < MAX_ENDS_PER_REPORT
+        for run in list(worker.runs.values()) if is_complete else ():
             answered = run.state in ("running", "barred")
             if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
                 self._drop_run(run, now)
@@ -95,11 +100,14 @@
             return []
         return self._adopt(worker, item, run, now)
 
-    def _adopt(self, worker, item, known, now):
-        """Take on a run that another leader started, or stop it when it has no place here."""
+    def _adopt(self, worker, item, tracked_run, now):
+        """Adopt a run that another leader started, or treat it as an orphan run and stop it.
+
+        An orphan run whose task may still become known is stopped after :data:`UNKNOWN_JOB_S`.
+        """
         step, task = self.find_task(item.task)
         wanted = (
-            known is None
+            tracked_run is None
             and task is not None
             and not step.job.is_ended
             and task.state is TaskState.WAITING
@@ -127,10 +135,10 @@
         ]
 
     def _may_appear_in_feed(self, job_id):
-        """Whether a job is unknown, and may yet come with the next reading of the feed.
+        """Whether a job is unknown and may still appear in the next read of the feed.
 
-        Runs of ended jobs must not wait for that: a leader that takes over after a cancelling would
-        let them run on, and so would each one after it.
+        Ended jobs are excluded, so that their runs are stopped at once: otherwise a leader that
+        takes over after a cancellation would let them continue, and so would each later leader.
         """
         return not self.has_job(job_id)
 
@@ -142,11 +150,11 @@
         return job is not None and not job.is_ended and job.is_to_open(name)
 
     def _apply_early_reports(self, job, now):
-        """Count what workers told of tasks before they were known: ends, then runs.
+        """Apply what workers reported about tasks before the tasks were known: ends, then runs.
 
-        Called when a job is heard of and when an occurrence of it becomes due. Without it the tasks
-        would be started a second time. Ends come first: of a task that is done no run is taken on.
-        Returns the stops that follow.
+        Called when a job becomes known and when one of its occurrences becomes due. Otherwise the
+        tasks would be started a second time. Ends are applied first, so that no run of a completed
+        task is adopted. Returns the resulting stops.
         """
         actions = []
         for worker in self.workers.values():
@@ -159,9 +167,9 @@
         return actions
 
     def _adopt_orphan_runs(self, job, now):
-        """Take on what a former leader started of a job that is only heard of now.
+        """Adopt the runs that a former leader started of a job that has only now become known.
 
-        Without it the job's tasks would be started a second time while the first runs go on.
+        Otherwise the job's tasks would be started a second time while the first runs continue.
         """
         for worker in self.workers.values():
             for key, orphan in list(worker.orphan_runs.items()):
@@ -178,7 +186,7 @@
                     run.state = "barred"
 
     def new_run(self, worker, step, task, now):
-        """Count a start that is about to be sent; return its run."""
+        """Add the run of a start that is about to be sent; return the run."""
         floor = (self.term - 1) * RUNS_PER_TERM if step.job.inherited else 0
         run = self._make_run(worker, step, task, max(task.run_id, floor) + 1, now)
         run.resumes = bool(task.checkpoint)
@@ -223,14 +231,14 @@
             task.runs.pop(worker.info.worker_id, None)
             self.remove_placed(run, now)
         actions = self._apply_end(worker, step, task, end, run, now)
-        # Also of a job that has ended, until that is durable: a leader that takes over before knows
-        # neither of the job's end nor of this one, and would run the task again.
+        # Also applies to an ended job until its end is durable: a leader that takes over before
+        # then would find neither the job's end nor this one, and would run the task again.
         if step.job.change > step.job.recorded_change:
             worker.ack_queue.append(PendingEnd(end=end, change=step.job.change, now=now))
         return actions
 
     def _apply_end(self, worker, step, task, end, run, now):
-        """Count the end of a task's run; `run` is None when this leader has not known the run."""
+        """Apply the end of a task's run; `run` is None if this leader did not track it."""
         task.run_id = max(task.run_id, end.run_id)
         actions = []
         if not step.job.is_ended:
@@ -293,7 +301,7 @@
         worker.retry_at = 0.0
 
     def _note_worker_failure(self, worker, now):
-        """Keep work off a worker that fails what others would do, a little longer each time."""
+        """Back off a worker that fails tasks which others could do, longer after each failure."""
         worker.n_consecutive_failures += 1
         if worker.n_consecutive_failures >= FAILURES_BEFORE_BACKOFF:
             n_doublings = min(
@@ -302,10 +310,10 @@
             backoff_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**n_doublings)
             worker.retry_at = now + backoff_s
 
-    # Answers to calls
+    # Replies to calls
 
     def start_answered(self, worker_id, task, run_id, outcome, now):
-        """Take a worker's answer to a start: started, unknown, or the reason of a refusal."""
+        """Process a worker's reply to a start: started, unknown, or the reason for a refusal."""
         run = self._find_run(worker_id, task, run_id)
         if run is None:
             return []
@@ -315,8 +323,8 @@
                 run.sent_at = now
             return []
         if outcome == "unknown":
-            # It may be carried out seconds later. Stopping it bars it, and its place stays taken
-            # until the worker confirms that.
+            # The worker may still carry out the start seconds later. A stop bars the run, whose
+            # capacity stays reserved until the worker confirms the stop.
             if run.state != "starting":
                 return []
             actions = self._stop(run, now, "start unanswered")
@@ -334,9 +342,10 @@
         return self._stop_rest_of_gang(task, run_id, now)
 
     def _stop_rest_of_gang(self, task, run_id, now):
-        """Stop the other members of a gang of which one was not started.
+        """Stop the other members of a gang of which one member was not started.
 
-        They would wait for it at work until they end alone, and the gang begins anew only then.
+        Otherwise they would occupy their workers, waiting for that member, until they end alone,
+        and only then would the gang be started again.
         """
         step, _ = self.find_task(task)
         if step is None or not step.spec.gang:
@@ -347,12 +356,12 @@
         ]
 
     def is_wanted(self, worker_id, task, run_id):
-        """Whether a run that was to be started still has its place, and is not being stopped."""
+        """Whether a run to be started still holds its capacity and is not being stopped."""
         run = self._find_run(worker_id, task, run_id)
         return run is not None and run.state in ("starting", "running")
 
     def may_be_sent(self, worker_id, task, run_id, now):
-        """Whether a start that waited for its turn may still go to its worker."""
+        """Whether a queued start may still be sent to its worker."""
         run = self._find_run(worker_id, task, run_id)
         if run is None or run.state != "starting" or not run.worker.accepts(now):
             return False
@@ -365,14 +374,14 @@
         )
 
     def stop_answered(self, worker_id, task, run_id, now):
-        """The worker took the stop: the run ends within its time, or never begins."""
+        """Note that a worker accepted a stop: the run ends within the stop time or never begins."""
         run = self._find_run(worker_id, task, run_id)
         if run is not None and run.state == "stopping":
             run.state = "barred"
             run.sent_at = now
 
     def advice_received(self, step_key, asked, tickets, valid_until, now):
-        """Take the answer to an ask; `tickets` by worker is None when there was no answer."""
+        """Process the reply to an advice request; `tickets`, by worker, is None without a reply."""
         self.asking.pop(step_key, None)
         job = self.jobs.get(step_key.split(".", 1)[0])
         if job is None:
@@ -394,7 +403,7 @@
 def _note_progress(run, item, clock_s, now):
     if run.reported_clock is None:
         run.percent_clock = clock_s
-        # What a resumed run shows at first was done by the run before.
+        # The first progress that a resumed run reports was made by the previous run.
         run.first_percent = item.percent if run.resumes else run.first_percent
     elif item.percent != run.percent:
         run.percent_clock = clock_s
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -12,7 +12,7 @@
 
 
 class Suspect(Struct, kw_only=True, frozen=True):
-    """A task that was running on lost workers, or may have been."""
+    """A task that ran, or may have run, on lost workers."""
 
     step: object
     task: object
@@ -58,9 +58,9 @@
     `suspects` are the tasks that were running on lost workers, by name. `trials` holds the task
     names of the trial runs by worker; no task of another job is started on these workers. Once a
     loss counts against a task, its next start is made durable before it is sent, so that a new
-    leader can count a crash that coincides with the failure of the previous one.
-    `is_store_unavailable` says that nothing can be recorded, `wall_offset_s` is the time of day
-    minus the steady time.
+    leader can count a crash that coincides with the failure of the previous leader.
+    `is_store_unavailable` means that nothing can be recorded; `wall_offset_s` is the time of day
+    minus the monotonic time.
     """
 
     def __init__(self, **values):
@@ -199,8 +199,8 @@
     def must_be_recorded(self, step, task):
         """Whether a start must be durable before it is sent.
 
-        This includes tasks that an earlier leader may have started on a worker that never answered
-        this one.
+        This includes tasks that an earlier leader may have started on a worker that has never
+        answered this leader.
         """
         history = task.crash_history
         if history is not None and (history.must_be_recorded or history.unrecorded_change):
@@ -247,7 +247,7 @@
 
     @property
     def holds_starts(self):
-        """Whether starts wait until they are durable."""
+        """Whether any starts are held until they are durable."""
         return bool(self._held_starts)
 
     def _started_run(self, action):
@@ -281,7 +281,7 @@
         return [run for run in runs if run is not None and run.state == "recording"]
 
     def _release_starts(self, held, now):
-        """Return the recorded starts that may be sent; a gang starts as a whole or not at all."""
+        """Return the recorded starts that may be sent; a gang starts completely or not at all."""
         runs = self._held_runs(held)
         is_whole = len(runs) == len(held.starts) and all(
             run.worker.accepts(now) and not run.worker.is_over_capacity(run.step) for run in runs
@@ -298,7 +298,7 @@
         return actions
 
     def start_sent(self, worker_id, task, run_id):
-        """Note that a start was sent: the run may begin from now on."""
+        """Note that a start was sent, so that the run may begin from now on."""
         run = self._find_run(worker_id, task, run_id)
         if run is not None:
             run.is_sent = True
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -1,19 +1,19 @@
-"""Book-keeping of one worker: what it holds, what runs there, until when its lease lasts."""
+"""State of one worker: its capacity, its runs and the expiry of its lease."""
 
 from msgspec import Struct
 
 from ._crash_history import EARLY_CRASH_S
 
-#: Part by which a worker's clock may run slow, as the contract of the workers states it.
+#: Fraction by which a worker's clock may run slow, as the worker contract states.
 CLOCK_DRIFT = 0.02
 
-#: Added to a lease before its end is relied on: the granularity of the worker's clock and of the
-#: reading of our own. Unit: seconds.
+#: Added to a lease before its expiry is relied on, for the granularity of the worker's clock and of
+#: the leader's own clock readings. Unit: seconds.
 LEASE_MARGIN_S = 0.1
 
 
 class WorkerInfo(Struct, kw_only=True, frozen=True):
-    """A worker as it registers itself."""
+    """Registry entry of a worker, as the worker registers itself."""
 
     worker_id: str
     address: str
@@ -30,7 +30,7 @@
 
 
 class RunReport(Struct, kw_only=True, frozen=True):
-    """One run that a worker lists as active; `load` is its tail in ms or its cpu in use."""
+    """A run that a worker lists as active; `load` is its tail latency in ms or its CPU in use."""
 
     task: str
     run_id: int
@@ -40,7 +40,7 @@
 
 
 class RunEnd(Struct, kw_only=True, frozen=True):
-    """One end that a worker lists; `how` is done, failed, stopped, lapsed, broken or alone."""
+    """An end that a worker lists; `how` is done, failed, stopped, lapsed, broken or alone."""
 
     number: int
     task: str
@@ -50,7 +50,7 @@
 
 
 class WorkerReport(Struct, kw_only=True, frozen=True):
-    """Everything that a worker says of itself in one answer. Unit of `clock_s`: its own seconds."""
+    """Runs and ends that a worker lists in one reply. `clock_s`: the worker's clock, in seconds."""
 
     clock_s: float
     active: tuple[RunReport, ...]
@@ -58,18 +58,18 @@
 
 
 def lease_end(sent_at, lease_s):
-    """Return when a lease that was sent has surely ended, by a slow clock. Unit: seconds."""
+    """Return when a lease has certainly expired, even on a slow clock. Unit: seconds."""
     return sent_at + lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
 
 
 class OrphanRun:
-    """A run that a worker lists and that has no place here: of a job not known, or out of date.
+    """A run that a worker lists and no task accounts for: of an unknown job, or out of date.
 
     Parameters
     ----------
     item : RunReport
     now : float
-        When it was first listed. Unit: seconds.
+        When the run was first listed. Unit: seconds.
     """
 
     __slots__ = ("first_listed_at", "item", "stopped")
@@ -81,15 +81,15 @@
 
 
 class PendingEnd:
-    """An end that a worker has told of and must not be told to forget yet.
+    """An end that a worker has reported and that must not be acknowledged yet.
 
     Parameters
     ----------
     end : RunEnd
     change : int or None
-        Change of its job that has to be durable first; None while the job is not known.
+        Change of the run's job that has to be durable first; None while the task is not known.
     now : float
-        When it was told. Unit: seconds.
+        When the end was received. Unit: seconds.
     """
 
     __slots__ = ("change", "end", "received_at")
@@ -101,19 +101,20 @@
 
     @property
     def job_id(self):
-        """The job of the run that has ended."""
+        """Id of the job of the run that has ended."""
         return self.end.task.split(".", 1)[0]
 
 
 class Run:
-    """One start of a task on a worker, from the decision to its listed end.
-
-    `percent_clock` and `reported_clock` are the worker's time of the last progress and of the last
-    report, None before the first one; `reported_at` is our time of the last report, and
-    `first_percent` the progress that the run began with. `is_full_run` says that this leader
-    started it, from nothing: only then its length is that of the task. `is_sent` says that the
-    start was sent, `has_begun` that the worker has confirmed the run, `is_adopted` that another
-    leader started it, `is_trial` that it is a trial run, see :class:`TrialTracker`.
+    """One start of a task on a worker, from the decision to start it until its end is listed.
+
+    `percent_clock` and `reported_clock` are the worker's times of the last progress and of the last
+    report, None before the first report. `reported_at` is the leader's time of the last report,
+    `first_percent` the progress with which the run began. `is_full_run` means that this leader
+    started the run, and not from a checkpoint: only then is its duration that of the task.
+    `is_sent` means that the start was sent, `has_begun` that the worker has confirmed the run,
+    `is_adopted` that another leader started it, `is_trial` that it is a trial run, see
+    :class:`TrialTracker`.
     """
 
     __slots__ = (
@@ -187,16 +188,17 @@
 
 
 class Worker:
-    """What the scheduler knows of one life of a worker.
+    """The scheduler's state of one incarnation of a worker.
 
     Notes
     -----
-    Room is counted from the decision to start until the end is listed: what is on its way or being
-    stopped still takes its place, since the worker itself may not guard its capacity.
+    A run occupies capacity from the decision to start it until its end is listed. Runs that are
+    being started or stopped count too, since the worker itself may not enforce its capacity.
 
-    `runs_known` says that an earlier leader named all that may run on a worker that has not
-    answered this one. `in_handover` says that the leader's row names what runs here, see
-    `_handover`. `connection_refused` says that the last call's connection was refused.
+    `runs_known` means that an earlier leader named all runs that may be active on a worker that has
+    not answered this leader. `in_handover` means that the leader's row names the worker and its
+    runs, see `_handover`. `connection_refused` means that the connection of the last call was
+    refused.
     """
 
     __slots__ = (
@@ -245,9 +247,9 @@
         self.gpu_free = info.accelerators
 
     def update_info(self, info):
-        """Replace the worker's entry and adjust the free amounts to its capacity.
+        """Replace the worker's registry entry and adjust its free capacity.
 
-        A free amount is negative while the runs exceed a reduced capacity.
+        The free amount of a resource is negative while the runs exceed a reduced capacity.
         """
         self.cpu_free += info.cpu_milli - self.info.cpu_milli
         self.memory_free += info.memory_mb - self.info.memory_mb
@@ -263,16 +265,17 @@
         )
 
     def note_leaving(self, now):
-        """Note until when a draining worker stays, as its entry says."""
+        """Note until when a draining worker stays, according to its registry entry."""
         if self.info.draining and self.info.leaves_in_s is not None:
             leaves_at = now + self.info.leaves_in_s
             self.leaves_at = min(leaves_at, self.leaves_at or leaves_at)
 
     def has_left(self, now):
-        """Whether the worker has left: its own time is over, and nobody listens at its address.
+        """Whether the worker has left: its announced time is over and its connections are refused.
 
-        The time is the least for which it stays, and entries lapse while the store is away. A lost
-        answer beside them meant a second run of each of its tasks, while the first ones went on.
+        The announced time is the least for which the worker stays, and registry entries expire
+        while the store is unavailable. When a lost answer was enough beside these two, each of the
+        worker's tasks was started a second time while the first runs continued.
         """
         is_time_over = self.leaves_at is not None and now > self.leaves_at
         return is_time_over and self.connection_refused and not self.listed
@@ -287,12 +290,12 @@
         return now >= self.lease_over_at and (self.unreachable or not self.listed)
 
     def add_run(self, run):
-        """Count a run's room."""
+        """Add a run and reserve its capacity."""
         self.runs[run.task] = run
         self._count(run.step, 1)
 
     def remove_run(self, run):
-        """Give a run's room back."""
+        """Remove a run and release its capacity."""
         del self.runs[run.task]
         self._count(run.step, -1)
 
@@ -303,7 +306,7 @@
         self.gpu_free -= sign * step.accelerators
 
     def fits(self, step):
-        """Whether one more task of `step` has room."""
+        """Whether the free capacity suffices for one more task of `step`."""
         return (
             (step.fills or self.cpu_free >= step.cpu_milli)
             and self.memory_free >= step.memory_mb
@@ -311,7 +314,7 @@
         )
 
     def could_fit(self, step):
-        """Whether a task of `step` has room when nothing else runs."""
+        """Whether the total capacity suffices for a task of `step`."""
         info = self.info
         return (
             info.cpu_milli >= step.cpu_milli
@@ -320,7 +323,7 @@
         )
 
     def accepts(self, now):
-        """Whether new tasks may be started here at all."""
+        """Whether new tasks may be started on the worker at all."""
         return (
             self.confirmed
             and not self.in_handover
@@ -332,5 +335,5 @@
         )
 
     def lease_sent(self, sent_at, lease_s):
-        """Note that a lease of `lease_s` was sent: it may last that long on a slow clock."""
+        """Note that a lease of `lease_s` was sent; it lasts longer on a slow clock."""
         self.lease_over_at = max(self.lease_over_at, lease_end(sent_at, lease_s))
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -1,4 +1,4 @@
-"""Workers of the cell: which there are, which answer, until when their leases last."""
+"""Tracking of the cell's workers: registration, reachability and expiry of their leases."""
 
 from ._actions import StopRun
 from ._advice import AllowedShares
@@ -10,7 +10,7 @@
 
 
 class WorkerTracker:
-    """The workers and the runs that take their room.
+    """Tracks the workers and the runs that occupy their capacity.
 
     Base of :class:`TrialTracker`, which isolates tasks that may crash workers.
 
@@ -18,17 +18,18 @@
     ----------
     term : int
     lease_s, stop_s, now : float
-        Length of the leases, longest time that a stop takes, and when this leader took over. Unit:
-        seconds.
+        Duration of the leases, maximum time that a stop takes, and when this leader took over.
+        Unit: seconds.
     grace_period : GracePeriod, default=None
-        What is left of earlier leaders; None: what only the term tells.
+        Wait for the commands and leases of earlier leaders; None: derived from the term alone.
 
     Notes
     -----
-    `freed` are the workers whose room has grown since the last plan, `needs_whole_plan` says that
-    something concerns more steps than can be told, `planned_whole_at` when such a plan was made.
-    `asking` holds the asks for advice under way, by step, `held_asks` the steps that wait to ask,
-    `asked_last` the worker after which the next ask begins.
+    `freed` are the workers whose free capacity has grown since the last plan. `needs_whole_plan`
+    means that a change may affect any step, `planned_whole_at` is the time of the last plan of all
+    steps. `asking` holds the advice requests in flight, by step, `held_asks` the steps that wait to
+    request advice, `asked_last` the worker after which the next request begins. `nameless` are the
+    registry entries that name no worker.
     """
 
     def __init__(self, *, term, lease_s, stop_s, now, grace_period=None):
@@ -53,7 +54,7 @@
         self.registry_version = 0
 
     def worker_listed(self, info, now):
-        """A worker is on the list, perhaps with news of itself; return True when it is new."""
+        """Add or update a worker listed in the registry; return whether it is new."""
         worker = self.workers.get(info.worker_id)
         is_new = worker is None
         if is_new:
@@ -73,13 +74,13 @@
         return _NEVER if over_at is None else over_at
 
     def _bound_unconfirmed_leases(self):
-        """All leases of earlier leaders have an end now: those of unheard workers, too."""
+        """Set when the leases of unconfirmed workers, granted by earlier leaders, end."""
         for worker in self.workers.values():
             if not worker.confirmed:
                 worker.lease_over_at = self.grace_period.leases_over_at
 
     def _confirm_worker(self, worker, now):
-        """Note that a worker has answered this leader: it refuses every earlier one from now on."""
+        """Note that a worker has answered this leader, and so refuses every earlier leader."""
         if worker.confirmed:
             return
         worker.confirmed = True
@@ -91,13 +92,13 @@
             self._bound_unconfirmed_leases()
 
     def worker_unlisted(self, worker_id):
-        """A worker is no longer on the list: it gets no new work, what runs there runs on."""
+        """Note that a worker left the registry: it gets no new tasks, and its runs continue."""
         worker = self.workers.get(worker_id)
         if worker is not None:
             worker.listed = False
 
     def worker_unreachable(self, worker_id, now, *, connection_refused=False):
-        """Calls to a worker fail: it gets no new work until it answers."""
+        """Note that calls to a worker fail: it gets no new tasks until it answers."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -107,7 +108,7 @@
             worker.unreachable_since = now
 
     def note_handover(self, worker_ids):
-        """Note which workers the leader's row names, now that it is durable."""
+        """Note which workers the leader's row names, now that the row is durable."""
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
                 self.needs_whole_plan = True
@@ -116,7 +117,7 @@
     # Runs
 
     def has_job(self, job_id):
-        """Whether a job has been heard of, also when it has ended."""
+        """Whether a job is known, including ended jobs."""
         return job_id in self.jobs or job_id in self.ended
 
     def find_task(self, name):
@@ -147,15 +148,15 @@
         ]
 
     def _free(self, run):
-        """Give a run's room back; the next plan tries the worker again."""
+        """Release a run's capacity; the next plan considers the worker again."""
         run.worker.remove_run(run)
         self.freed.add(run.worker.info.worker_id)
 
     def _take_orphan_run(self, step, task, now):
-        """Count a run that had no place here as the task's own, now that no other is left.
+        """Assign an orphan run to its task, which has no other run left.
 
-        It works, or is being stopped: a second one must not begin before it is over. Returns
-        whether there is such a run.
+        The orphan run is active or being stopped: a second run must not begin before it has ended.
+        Returns whether there is such a run.
         """
         for worker in self.workers.values():
             for name, run_id in list(worker.orphan_runs):
@@ -169,7 +170,7 @@
         return False
 
     def _drop_run(self, run, now):
-        """Forget a run that has certainly ended without a listed end."""
+        """Remove a run that has certainly ended, although no end was listed."""
         self._free(run)
         step, task = self.find_task(run.task)
         if task is None:
