--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Scheduling of tasks whose workers are lost, without any network."""
+"""Tests of the scheduling of tasks whose workers are lost, without a network."""
 
 from itertools import count
 
@@ -32,7 +32,7 @@
 
 
 def _plan(scheduler, now):
-    """Plan, record the changes and plan again; return the starts, sent and answered."""
+    """Plan, record the changes and plan again; return the starts, as sent and answered."""
     actions = scheduler.plan(now, now)
     for job in list(scheduler.jobs.values()):
         scheduler.recorded(job.job_id, job.change, now)
@@ -130,8 +130,8 @@
     assert not scheduler.suspects
 
 
-def test_run_that_lasts_clears_its_task():
-    """Guards against accumulating unrelated crashes over the life of a long-running task."""
+def test_long_run_clears_its_task():
+    """Guards against accumulating unrelated crashes while a long-running task continues."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
     answer_started(scheduler, [start], 0.0)
@@ -248,7 +248,7 @@
     assert _state(scheduler) is JobState.RUNNING
 
 
-def test_suspects_of_a_forgotten_job_are_dropped():
+def test_suspects_of_a_job_ended_by_another_instance_are_dropped():
     """Guards against counting crashes of a task whose job another instance has ended."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -288,15 +288,15 @@
     assert len(_plan(scheduler, 3.2)) == 1
 
 
-def _lost(number, fate=LossOutcome.CRASHED, **values):
+def _lost(number, outcome=LossOutcome.CRASHED, **values):
     return LostRun(
-        worker_id=f"w{number}", address=f"w{number}:1", run_id=number, fate=fate, **values
+        worker_id=f"w{number}", address=f"w{number}:1", run_id=number, fate=outcome, **values
     )
 
 
 @pytest.mark.parametrize(("taken_over_at", "state"), [(1.0, "failed"), (5.0, "running")])
-def test_next_leader_counts_an_early_crash_only_under_a_recent_start(taken_over_at, state):
-    """Guards against losing the crash count on a takeover and failing a job for a late crash."""
+def test_next_leader_counts_an_early_crash_only_after_a_recent_start(taken_over_at, state):
+    """Guards against losing the crash count on a take-over and failing a job for a late crash."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(former, [start], 0.0)
@@ -315,8 +315,8 @@
     assert is_failed is (state == "failed")
 
 
-def test_recorded_start_that_no_worker_confirmed_is_no_evidence_for_the_next_leader():
-    """Guards against blaming a task for a worker that had failed before the start reached it."""
+def test_next_leader_ignores_a_crash_after_an_unconfirmed_recorded_start():
+    """Guards against counting a crash of a worker that had failed before the start reached it."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(former, [start], 0.0)
@@ -335,8 +335,8 @@
 
 
 @pytest.mark.parametrize("n_others", [0, 1])
-def test_worker_lost_together_with_others_is_no_evidence_in_a_trial(n_others):
-    """Guards against failing jobs when several workers lose power while suspects are tried."""
+def test_worker_lost_together_with_others_does_not_fail_a_task_in_a_trial(n_others):
+    """Guards against failing jobs when several workers lose power during trial runs."""
     scheduler = make_scheduler(6)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     answer_started(scheduler, [start], 0.0)
@@ -372,7 +372,7 @@
     assert not CrashHistory(lost_runs=lost).crashes_workers
 
 
-def test_next_start_waits_for_the_fate_of_the_last_worker():
+def test_next_start_waits_for_the_outcome_of_the_last_loss():
     """Guards against a third start before the second crash is confirmed."""
     history = CrashHistory(lost_runs=[_lost(0), _lost(1, LossOutcome.UNKNOWN)], now=10.0)
     assert not history.may_start(15.0)
--- a/anvilflow/jobs/tests/test_duplicate_runs.py
+++ b/anvilflow/jobs/tests/test_duplicate_runs.py
@@ -1,4 +1,4 @@
-"""A task must not begin again while a run of it that has no place here is still being stopped."""
+"""Tests that a task is not started while an orphan run of it is still being stopped."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 def _report(scheduler, worker_id, now, *, active=(), ended=()):
-    """Let a worker report; return what follows, with the next plan."""
+    """Report the runs and ends of a worker; return the actions, with those of the next plan."""
     report = make_report(active, ended, clock_s=now)
     actions = scheduler.report(worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
@@ -25,7 +25,10 @@
 
 
 def _make_scheduler_with_stale_run():
-    """A former leader named a run of the task on a worker; by now a later one is on another."""
+    """Return a scheduler with an outdated run of the task on one worker, named by a former leader.
+
+    A later run of the task, unknown to the scheduler, is on another worker.
+    """
     scheduler = make_scheduler(3)
     add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=20_000))
     task = scheduler.jobs["00000000000000a1"].steps[0, 0].tasks[0]
@@ -37,10 +40,12 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_task_waits_for_a_run_that_is_being_stopped_elsewhere(monkeypatch, safeguard):
-    """The leader names a run on a worker that is dark, and loses the store before it is over.
+    """Guards against a third run of a task while its second run is still being stopped.
 
-    It starts the task again on a second worker. The next leader knows the first run alone, has the
-    second one stopped, hears that the first one is over, and started a third beside the second.
+    A leader names a run on an unreachable worker in its row, loses the store before that run has
+    ended, and starts the task again on a second worker. The next leader has only the first run
+    on record and stops the second. When the first was reported as ended, it started a third run
+    beside the second.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_take_orphan_run", lambda self, step, task, now: False)
@@ -57,7 +62,7 @@
 
 
 def test_run_that_is_done_before_its_stop_counts():
-    """The run that was to be stopped was done first: the task must not begin again at all."""
+    """Guards against starting a task again that was done before its run could be stopped."""
     scheduler = _make_scheduler_with_stale_run()
     _report(scheduler, "w1", 0.5, active=[_active(2)])
     _report(scheduler, "w0", 0.7)
@@ -66,8 +71,8 @@
     assert _starts(scheduler.plan(5.0, 5.0)) == []
 
 
-def test_run_that_is_being_stopped_on_a_lost_worker_is_waited_for_until_its_lease_is_over():
-    """The worker falls dark while it stops: its run may go on until the lease ends."""
+def test_task_waits_for_a_run_being_stopped_on_a_lost_worker_until_its_lease_expires():
+    """Guards against an early start: an unreachable worker may run a task until its lease ends."""
     scheduler = _make_scheduler_with_stale_run()
     _report(scheduler, "w1", 0.5, active=[_active(2)])
     scheduler.workers["w1"].lease_sent(0.5, 3.0)
--- a/anvilflow/jobs/tests/test_unknown_tasks.py
+++ b/anvilflow/jobs/tests/test_unknown_tasks.py
@@ -1,4 +1,4 @@
-"""Ends and runs of tasks that a new leader does not know yet, without any network."""
+"""Tests of ends and runs of tasks that are still unknown to a new leader, without a network."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 TASK = "00000000000000a1.0.0.0"
 OTHER_JOB = "00000000000000b2"
 
-#: A job of three occurrences, ten seconds apart, the first at 100 s.
+#: A job with three occurrences, 10 s apart, the first at 100 s.
 TIMED = JobSpec(
     job_id="00000000000000a1",
     queue="q",
@@ -22,21 +22,22 @@
 
 
 def make_end(task, *, number=1, how="done"):
-    """Return the end of a first run."""
+    """Return the end of a task's first run."""
     return RunEnd(number=number, task=task, run_id=1, how=how, checkpoint="")
 
 
 def report_ends(scheduler, *ends, now=0.1, worker_id="w0"):
-    """Let a worker tell of ends; return the number up to which it may forget them."""
+    """Report ends of a worker; return the number up to which they are acknowledged."""
     scheduler.report(worker_id, make_report(ended=ends), requested_at=now, now=now)
     return scheduler.acknowledged(scheduler.workers[worker_id])
 
 
-def test_end_of_a_job_that_is_heard_of_later_is_kept_and_counts():
-    """A job is accepted while leaders change: the former leader starts it, and it is done at once.
+def test_end_reported_before_its_job_is_known_is_kept_and_counts():
+    """Guards against a second start of a task whose end is reported before its job is known.
 
-    The next leader has read the jobs before. It hears of the end first, then of the job. Were the
-    end forgotten, the task would be started a second time.
+    The job is accepted during a change of leaders. The former leader starts it, and its task is
+    done at once. The next leader has read the jobs before that: it receives the end first, then
+    the job.
     """
     scheduler = make_scheduler()
     assert report_ends(scheduler, make_end(TASK)) == 0
@@ -48,11 +49,12 @@
     assert scheduler.acknowledged(worker) == 1
 
 
-def test_end_of_an_unknown_job_is_forgotten_once_the_jobs_have_been_read_again():
-    """The job ended long ago and its rows are gone; a worker that was away tells of its run.
+def test_end_of_an_unknown_job_is_acknowledged_once_the_jobs_have_been_read_again():
+    """Guards against keeping ends of deleted jobs forever, and acknowledging ends too early.
 
-    Whatever the former leader started stood in the store before: a reading that was begun after the
-    end was told shows the job, or there is none. One that was begun before shows nothing.
+    The job's rows are deleted, and a worker that was unreachable reports its run. A job is in the
+    store before it is started, so a read that began after the end was received shows the job if it
+    exists. A read that began earlier proves nothing.
     """
     scheduler = make_scheduler()
     assert report_ends(scheduler, make_end(TASK), now=5.0) == 0
@@ -62,8 +64,8 @@
     assert scheduler.acknowledged(scheduler.workers["w0"]) == 1
 
 
-def test_ends_behind_one_that_is_kept_wait_with_it():
-    """A worker forgets all ends up to a number: a later one that is durable has to wait."""
+def test_ends_after_a_kept_end_are_not_acknowledged():
+    """Guards against losing a kept end: a worker drops all ends up to the acknowledged number."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000), job_id=OTHER_JOB)
     ends = [make_end(TASK, number=1), make_end(start.task, number=2)]
@@ -76,7 +78,7 @@
 
 
 def test_end_of_a_job_that_has_ended_durably_is_not_kept():
-    """The job's own end is in the store: nothing of it is ever started again."""
+    """Guards against keeping ends needlessly: a job whose end is durable is never started again."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     scheduler.cancel_job("00000000000000a1", 0.1)
@@ -84,8 +86,8 @@
     assert report_ends(scheduler, make_end(start.task), worker_id=start.worker_id) == 1
 
 
-def test_full_report_of_unknown_ends_is_kept_whole_and_counts():
-    """Five hundred ends of a wide job are told before the job is heard of, and none is lost."""
+def test_full_report_of_unknown_ends_is_kept_and_counts():
+    """Guards against losing some of 500 ends that are reported before their job is known."""
     scheduler = make_scheduler(n_workers=1)
     ends = [make_end(f"00000000000000a1.0.0.{each}", number=each + 1) for each in range(500)]
     assert report_ends(scheduler, *ends) == 0
@@ -95,8 +97,8 @@
     ]
 
 
-def test_failures_of_a_job_that_is_heard_of_later_count_once():
-    """The run failed three times before the job is heard of, one of the ends is told twice."""
+def test_failures_reported_before_their_job_is_known_count_once():
+    """Guards against counting a failure twice: of three early ends, one is reported twice."""
     scheduler = make_scheduler()
     ends = [
         RunEnd(number=number, task=TASK, run_id=number, how="failed", checkpoint="")
@@ -109,8 +111,11 @@
     assert job.is_ended and len(job.steps[0, 0].tasks[0].failed_runs) == 3
 
 
-def test_run_that_is_only_known_by_its_end_raises_the_run_number():
-    """A worker refuses a number that is not higher, and two failures as run 1 would count once."""
+def test_run_known_only_by_its_end_raises_the_run_number():
+    """Guards against reusing a run number.
+
+    A worker refuses a number that is not higher, and two failures of run 1 would count once.
+    """
     scheduler = make_scheduler()
     end = RunEnd(number=1, task=TASK, run_id=3, how="failed", checkpoint="")
     assert report_ends(scheduler, end) == 0
@@ -120,10 +125,11 @@
 
 @pytest.mark.parametrize("is_cancelled", [False, True])
 def test_end_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_kept(is_cancelled):
-    """The former leader's clock is ahead of the next one's: it has begun an occurrence of a job.
+    """Guards against a second start of a task when the former leader's clock was ahead.
 
-    To the next leader the occurrence is not due for a second. Were the end forgotten, the task
-    would be started a second time then. A cancelling that is not durable changes nothing of that.
+    The former leader has begun an occurrence that is due only in one second by the next leader's
+    clock. If the end were acknowledged, the task would be started again then, also when a
+    cancellation is not durable yet.
     """
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.0)
@@ -147,10 +153,11 @@
     return [action for action in actions if isinstance(action, StartRun)]
 
 
-def test_run_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_taken_on():
-    """The former leader's clock is 0.5 s ahead, and a task that it began early still runs.
+def test_run_of_an_occurrence_that_is_not_due_yet_by_this_leaders_clock_is_adopted():
+    """Guards against stopping a run when the former leader's clock was ahead, by 0.5 s.
 
-    To stop it would throw its work away; a moment later the occurrence is due here, too.
+    The occurrence becomes due shortly afterwards for this leader too, and a stop would discard the
+    run's work.
     """
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.5)
@@ -161,7 +168,7 @@
 
 
 def test_end_of_a_task_that_cannot_exist_is_not_kept():
-    """A worker names a task beyond its job's last occurrence, or none of ours."""
+    """Guards against keeping ends of tasks beyond the last occurrence, or with invalid names."""
     scheduler = make_scheduler()
     scheduler.add_job(TIMED, QUEUE, version=1, now=0.0, wall_now=99.0)
     ends = [make_end(f"{TIMED.job_id}.3.0.0", number=1), make_end(TIMED.job_id, number=2)]
