--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -52,7 +52,7 @@
         for row in state.ended:
             value = self._decode_row(row, EndedJob)
             if value is not None:
-                self.scheduler.forget_job(row.key, JobState(value.state), self._now())
+                self.scheduler.drop_job(row.key, JobState(value.state), self._now())
                 self.garbage_collector.add(row.key, value.ended_at)
         marks = [row for row in state.jobs if row.key.endswith(CANCEL_MARK)]
         for row in state.jobs:
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -162,7 +162,7 @@
         self._advice_dispatcher = AdviceDispatcher(context=self.context)
         self._relay_dispatcher = RelayDispatcher(context=self.context, log=self.log)
         self._garbage_collector = GarbageCollector(
-            context=self.context, on_removed=scheduler.forget_ended
+            context=self.context, on_removed=scheduler.drop_ended_job
         )
         self._fleet = Fleet(
             context=self.context,
@@ -478,6 +478,6 @@
         for job in ended:
             self._garbage_collector.add(job.job_id, self.context.wall_clock())
             self._garbage_collector.shorten(job)
-            self._relay_dispatcher.forget_job(job.job_id)
+            self._relay_dispatcher.drop_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
--- a/anvilflow/cell/_registry.py
+++ b/anvilflow/cell/_registry.py
@@ -19,7 +19,7 @@
         info = decode_worker(row.key, row.value)
     except PlatformError:
         return False
-    return config is None or config.names_service(info.service)
+    return config is None or config.has_service(info.service)
 
 
 class Registry:
@@ -68,7 +68,7 @@
         What such a queue has running would be started twice by a leader that did not look.
         """
         scheduler = self.scheduler
-        if scheduler.config is None or scheduler.config.names_service(service):
+        if scheduler.config is None or scheduler.config.has_service(service):
             return True
         return any(job.queue.service == service for job in scheduler.jobs.values())
 
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -88,7 +88,7 @@
         if name:
             self._gateways[job_id] = name
 
-    def forget_job(self, job_id):
+    def drop_job(self, job_id):
         """Forget a job that has ended."""
         self._gateways.pop(job_id, None)
 
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -48,7 +48,7 @@
         worker = self.workers.pop(worker_id, None)
         if worker is None:
             return []
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
         self._has_lost_unconfirmed_worker = (
             self._has_lost_unconfirmed_worker or not worker.confirmed
         )
--- a/anvilflow/jobs/_job.py
+++ b/anvilflow/jobs/_job.py
@@ -6,7 +6,7 @@
 from ._record import JobRecord
 
 #: Time for which a task that is to last waits behind more urgent jobs. Unit: seconds.
-MAX_DOWN_S = 2.0
+MAX_DOWNTIME_S = 2.0
 
 
 class TaskState(StrEnum):
@@ -40,7 +40,7 @@
         "crash_history",
         "failed_runs",
         "index",
-        "n_given_up",
+        "n_stalled_runs",
         "name",
         "run_id",
         "runs",
@@ -58,7 +58,7 @@
         self.checkpoint = ""
         self.avoid = set()
         self.crash_history = None
-        self.n_given_up = 0
+        self.n_stalled_runs = 0
         self.runs = {}
         self.waiting_since = now
         self.started_at = None
@@ -73,7 +73,6 @@
         "job",
         "key",
         "n_done",
-        "noted_at",
         "number",
         "occurrence",
         "ready_at",
@@ -81,6 +80,7 @@
         "spec",
         "tasks",
         "tickets",
+        "wait_noted_at",
     )
 
     def __init__(self, *, job, occurrence, number, spec, now):
@@ -94,7 +94,7 @@
         ]
         self.n_done = 0
         self.ready_at = None
-        self.noted_at = 0.0
+        self.wait_noted_at = 0.0
         self.tickets = {}
         self.copies = []
         self.durations = []
@@ -106,7 +106,7 @@
         return self.n_done == len(self.tasks)
 
     @property
-    def waits_for_advice(self):
+    def may_request_advice_early(self):
         """Whether advice may be asked for while the steps before still run."""
         return self.ready_at is None and self.job.queue.advice is not None
 
@@ -114,7 +114,7 @@
         """Return the tasks that have no run."""
         return [task for task in self.tasks if task.state is TaskState.WAITING]
 
-    def n_on(self, worker_id):
+    def n_tasks_on(self, worker_id):
         """Number of the step's tasks that have a run on a worker."""
         return sum(worker_id in task.runs for task in self.tasks)
 
@@ -142,15 +142,15 @@
         "change",
         "changed_at",
         "due_by",
-        "hold_back_until",
         "inherited",
         "is_changed",
         "is_idle",
-        "lasts",
+        "is_long_running",
         "next_occurrence",
         "queue",
         "recorded_change",
         "spec",
+        "starts_delayed_until",
         "state",
         "steps",
         "version",
@@ -161,9 +161,9 @@
         self.queue = queue
         self.version = version
         self.accepted_at = now
-        self.hold_back_until = 0.0
+        self.starts_delayed_until = 0.0
         self.inherited = inherited
-        self.lasts = any(step.long_running for step in spec.steps)
+        self.is_long_running = any(step.long_running for step in spec.steps)
         self.is_idle = False
         self.is_changed = True
         self.state = JobState.QUEUED
@@ -194,10 +194,10 @@
         A task that is to last and has been down for long comes before all others: behind a burst
         of more urgent jobs that did not end, its users waited as long.
         """
-        is_overdue = self.lasts and self._down_s(now) > MAX_DOWN_S
+        is_overdue = self.is_long_running and self._downtime_s(now) > MAX_DOWNTIME_S
         return (float("-inf") if is_overdue else self.queue.priority, self.due_by)
 
-    def _down_s(self, now):
+    def _downtime_s(self, now):
         """Return for how long a task that could run has had no run. Unit: seconds."""
         waiting_since = [
             task.waiting_since
@@ -219,7 +219,9 @@
         and 14,000 tasks 6.9 ms.
         """
         self.is_idle = not any(
-            step.copies or step.waits_for_advice or (step.ready_at is not None and step.waiting())
+            step.copies
+            or step.may_request_advice_early
+            or (step.ready_at is not None and step.waiting())
             for step in self.steps.values()
             if not step.is_done
         )
@@ -244,7 +246,7 @@
             self.mark_ready(now)
         return opened
 
-    def is_to_open(self, name):
+    def is_of_future_occurrence(self, name):
         """Whether a task is of an occurrence that is not due yet by the clock of this leader.
 
         The clocks of instances differ, and a former leader may have begun the occurrence.
@@ -328,8 +330,8 @@
             self.state = JobState.RUNNING
         for (occurrence, number), step in self.steps.items():
             key = f"{occurrence}.{number}"
-            whole = key in record.done_steps
-            done = range(len(step.tasks)) if whole else record.done_tasks.get(key, ())
+            is_complete = key in record.done_steps
+            done = range(len(step.tasks)) if is_complete else record.done_tasks.get(key, ())
             for index in done:
                 step.tasks[index].state = TaskState.DONE
             step.n_done = len(done)
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -12,7 +12,7 @@
 #: Least time between two plans that look at every waiting step with every worker. In between only
 #: what has changed is planned: after each event anew, 23 waiting steps with 270 workers took the
 #: deciding instance most of its processor. Unit: seconds.
-WHOLE_PLAN_S = 0.1
+FULL_PLAN_INTERVAL_S = 0.1
 
 
 def plan_starts(scheduler, now, n_wanted=None):
@@ -29,26 +29,28 @@
     if n_wanted is not None and n_wanted <= 0:
         scheduler.note_starts_deferred(now)
         return ask_held(scheduler, now)
-    is_whole = scheduler.needs_whole_plan or now >= scheduler.planned_whole_at + WHOLE_PLAN_S
-    if is_whole:
-        scheduler.needs_whole_plan = False
-        scheduler.planned_whole_at = now
+    is_full_plan = (
+        scheduler.needs_full_plan or now >= scheduler.last_full_plan_at + FULL_PLAN_INTERVAL_S
+    )
+    if is_full_plan:
+        scheduler.needs_full_plan = False
+        scheduler.last_full_plan_at = now
         scheduler.reservations = Reservations(scheduler.policy)
     freed, scheduler.freed = scheduler.freed, set()
     actions = []
     n_starts = 0
     for job in sorted(
-        _waiting_jobs(scheduler, is_whole or freed), key=lambda job: job.urgency(now)
+        _waiting_jobs(scheduler, is_full_plan or freed), key=lambda job: job.urgency(now)
     ):
         if n_wanted is not None and n_starts >= n_wanted:
-            scheduler.needs_whole_plan = scheduler.needs_whole_plan or is_whole
+            scheduler.needs_full_plan = scheduler.needs_full_plan or is_full_plan
             scheduler.freed |= freed
             scheduler.note_starts_deferred(now)
             break
-        if is_whole or job.is_changed:
+        if is_full_plan or job.is_changed:
             planned = _plan_job(scheduler, job, now)
         else:
-            planned = _plan_freed(scheduler, job, freed, now)
+            planned = _plan_on_freed_workers(scheduler, job, freed, now)
         n_starts += sum(isinstance(action, StartRun) for action in planned)
         actions += planned
     else:
@@ -56,12 +58,12 @@
     return actions + ask_held(scheduler, now)
 
 
-def _waiting_jobs(scheduler, all_of_them):
+def _waiting_jobs(scheduler, include_all):
     """Return the jobs with tasks to place: all, or those that have changed."""
     return [
         job
         for job in scheduler.jobs.values()
-        if not job.is_idle and not job.is_ended and (all_of_them or job.is_changed)
+        if not job.is_idle and not job.is_ended and (include_all or job.is_changed)
     ]
 
 
@@ -74,7 +76,7 @@
         if step.ready_at is None:
             actions += ask_ahead(scheduler, step, now)
             continue
-        waiting = scheduler.startable(step, step.waiting(), now) + _copies(step)
+        waiting = scheduler.startable(step, step.waiting(), now) + _tasks_to_copy(step)
         if not waiting:
             continue
         if not scheduler.may_start(job, now):
@@ -90,14 +92,14 @@
     return actions
 
 
-def _plan_freed(scheduler, job, freed, now):
+def _plan_on_freed_workers(scheduler, job, freed, now):
     """Place tasks of a job that waits where room has come; the rest is as the last plan left it."""
     actions = []
     for step in job.steps.values():
         if step.is_done or step.ready_at is None:
             continue
         workers = [scheduler.workers[name] for name in freed if name in scheduler.workers]
-        workers = [worker for worker in workers if _is_open(scheduler, step, worker, now)]
+        workers = [worker for worker in workers if _is_eligible(scheduler, step, worker, now)]
         workers = [worker for worker in workers if worker.fits(step.spec)]
         waiting = scheduler.startable(step, step.waiting(), now) if workers else ()
         if not waiting or not scheduler.may_start(job, now):
@@ -111,7 +113,7 @@
     return actions
 
 
-def _copies(step):
+def _tasks_to_copy(step):
     """Return the tasks of which a second run is wanted and does not exist yet."""
     step.copies = [
         task for task in step.copies if task.state is TaskState.RUNNING and len(task.runs) == 1
@@ -126,10 +128,10 @@
     """Return the workers on which the step may run and that take work now."""
     names = scheduler.workers if step.job.queue.advice is None else step.tickets
     workers = [scheduler.workers[name] for name in names if name in scheduler.workers]
-    return [worker for worker in workers if _is_open(scheduler, step, worker, now)]
+    return [worker for worker in workers if _is_eligible(scheduler, step, worker, now)]
 
 
-def _is_open(scheduler, step, worker, now):
+def _is_eligible(scheduler, step, worker, now):
     """Whether a worker takes work now, and the step may run there."""
     info = worker.info
     if info.service != step.job.queue.service or not worker.accepts(now):
@@ -173,9 +175,9 @@
 
 def _note_wait(step, n_waiting, workers, now):
     """Say why tasks of a step wait, every now and then."""
-    if now - max(step.ready_at, step.noted_at) < NOTE_WAIT_S:
+    if now - max(step.ready_at, step.wait_noted_at) < NOTE_WAIT_S:
         return []
-    step.noted_at = now
+    step.wait_noted_at = now
     note = NoteWait(
         step=step.key,
         n_waiting=n_waiting,
--- a/anvilflow/jobs/_policy.py
+++ b/anvilflow/jobs/_policy.py
@@ -5,8 +5,8 @@
 from msgspec import Meta, Struct
 
 Share = Annotated[float, Meta(ge=0.0, le=1.0)]
-Asks = Annotated[float, Meta(ge=0.0, le=2.0)]
-Times = Annotated[float, Meta(ge=1.0, le=1000.0)]
+CapacityShare = Annotated[float, Meta(ge=0.0, le=2.0)]
+Factor = Annotated[float, Meta(ge=1.0, le=1000.0)]
 Seconds = Annotated[float, Meta(ge=0.0, le=3600.0)]
 Count = Annotated[int, Meta(ge=0, le=10_000)]
 
@@ -73,11 +73,11 @@
     backfills: bool = True
     judges_runs: bool = True
     avoids_slow: bool = True
-    slow_times: Times = 3.0
+    slow_times: Factor = 3.0
     copies: bool = True
     asks_ahead: bool = True
     ask_ahead_s: Seconds = 0.35
     asks_by_need: bool = True
-    ask_times: Times = 1.5
+    ask_times: Factor = 1.5
     ask_more: Count = 3
-    long_ask_share: Asks = 0.6
+    long_ask_share: CapacityShare = 0.6
--- a/anvilflow/jobs/_ranking.py
+++ b/anvilflow/jobs/_ranking.py
@@ -7,17 +7,17 @@
 from ._stalled_runs import is_slow
 
 
-class _PlainTask(Struct, frozen=True):
+class _TaskWithoutHistory(Struct, frozen=True):
     """What costs depend on, of a task without a history."""
 
     avoid: tuple[str, ...] = ()
     crash_history: None = None
 
 
-_PLAIN = _PlainTask()
+_NO_HISTORY = _TaskWithoutHistory()
 
 
-def _is_plain(task):
+def _has_no_history(task):
     """Whether the task costs the same on each worker as most others of its step."""
     return not task.avoid and task.crash_history is None
 
@@ -39,10 +39,10 @@
 
     def choose(self, task):
         """Return the worker that a task should be started on, or None."""
-        if not _is_plain(task):
+        if not _has_no_history(task):
             return self._choose_among_all(task)
         if self._heap is None:
-            entries = map(self._entry, range(len(self._workers)))
+            entries = map(self._heap_entry, range(len(self._workers)))
             self._heap = [entry for entry in entries if entry is not None]
             heapq.heapify(self._heap)
         if not self._heap:
@@ -56,7 +56,7 @@
         if not self._heap or self._workers[self._heap[0][1]] is not worker:
             self._heap = None
             return
-        entry = self._entry(self._heap[0][1])
+        entry = self._heap_entry(self._heap[0][1])
         if entry is None:
             heapq.heappop(self._heap)
         else:
@@ -65,15 +65,15 @@
     def _choose_among_all(self, task):
         return _choose(self._scheduler, self._step, task, self._workers, self._reserve)
 
-    def _entry(self, number):
+    def _heap_entry(self, number):
         """Return the rank of a worker, the first of equal ones first, or None if none fits."""
         worker = self._workers[number]
-        if not _may_take(self._scheduler, self._step, _PLAIN, worker, self._reserve):
+        if not _can_take(self._scheduler, self._step, _NO_HISTORY, worker, self._reserve):
             return None
-        return _cost(self._scheduler, self._step, _PLAIN, worker), number
+        return _cost(self._scheduler, self._step, _NO_HISTORY, worker), number
 
 
-def _leaves(worker, spec, reserve):
+def _leaves_reserve(worker, spec, reserve):
     """Whether the reserve stays free on a worker, or nothing else is there that could use it."""
     left = worker.cpu_free - spec.cpu_milli
     return left >= reserve * worker.info.cpu_milli or not worker.runs
@@ -84,32 +84,42 @@
     fitting = [
         worker
         for worker in workers
-        if task.name not in worker.runs and _may_take(scheduler, step, task, worker, reserve)
+        if task.name not in worker.runs and _can_take(scheduler, step, task, worker, reserve)
     ]
     if not fitting:
         return None
     return min(fitting, key=lambda worker: _cost(scheduler, step, task, worker))
 
 
-def _may_take(scheduler, step, task, worker, reserve):
+def _can_take(scheduler, step, task, worker, reserve):
     """Whether a task has room on a worker that nobody else comes before it for."""
     spec = step.spec
     return (
         worker.fits(spec)
         and scheduler.reservations.allows(worker, step)
-        and _leaves(worker, spec, reserve)
-        and not (spec.max_per_worker and step.n_on(worker.info.worker_id) >= spec.max_per_worker)
+        and _leaves_reserve(worker, spec, reserve)
+        and not (
+            spec.max_per_worker and step.n_tasks_on(worker.info.worker_id) >= spec.max_per_worker
+        )
         and not scheduler.has_other_suspect(worker, task)
     )
 
 
 def _cost(scheduler, step, task, worker):
     spec = step.spec
-    far = bool(spec.data_rack) and worker.info.rack != spec.data_rack
+    is_remote = bool(spec.data_rack) and worker.info.rack != spec.data_rack
     failed_here = worker.info.worker_id in task.avoid
     slow = scheduler.policy.avoids_slow and is_slow(worker, scheduler.policy)
     risk = _work_at_risk(task, worker)
-    return (risk, failed_here, far, worker.n_bad, slow, _disturbs(spec, worker), worker.cpu_free)
+    return (
+        risk,
+        failed_here,
+        is_remote,
+        worker.n_bad,
+        slow,
+        _n_interfering_runs(spec, worker),
+        worker.cpu_free,
+    )
 
 
 def _work_at_risk(task, worker):
@@ -126,7 +136,7 @@
     )
 
 
-def _disturbs(spec, worker):
+def _n_interfering_runs(spec, worker):
     """Count the runs on a worker that a task of `spec` would disturb, or that would disturb it."""
     if spec.fills:
         return sum(run.step.target_s > 0 for run in worker.runs.values())
--- a/anvilflow/jobs/_reservations.py
+++ b/anvilflow/jobs/_reservations.py
@@ -126,7 +126,7 @@
     for worker in workers:
         if not worker.could_fit(spec):
             continue
-        if spec.max_per_worker and step.n_on(worker.info.worker_id) >= spec.max_per_worker:
+        if spec.max_per_worker and step.n_tasks_on(worker.info.worker_id) >= spec.max_per_worker:
             continue
         way = _find_way(worker, step, reserve, now)
         if way is not None:
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -79,7 +79,7 @@
         self.note_survivals(worker, now)
         self._confirm_worker(worker, now)
         if worker.unreachable:
-            self.needs_whole_plan = True
+            self.needs_full_plan = True
         worker.unreachable = worker.connection_refused = False
         actions += pace_background_tasks(self, worker, now)
         return actions
@@ -139,7 +139,7 @@
         if self._may_be_heard_of(job_id):
             return True
         job = self.jobs.get(job_id)
-        return job is not None and not job.is_ended and job.is_to_open(name)
+        return job is not None and not job.is_ended and job.is_of_future_occurrence(name)
 
     def _take_up(self, job, now):
         """Count what workers told of tasks before they were known: ends, then runs.
@@ -324,7 +324,7 @@
             if step is not None:
                 step.tickets.pop(worker_id, None)
         elif outcome == "no payload":
-            run.job.hold_back_until = now + NO_PAYLOAD_S
+            run.job.starts_delayed_until = now + NO_PAYLOAD_S
         elif outcome in ("room", "unhealthy"):
             self._worker_did_badly(run.worker, now)
             run.worker.retry_at = max(run.worker.retry_at, now + FIRST_BACKOFF_S)
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -13,7 +13,7 @@
 #: Least time between two looks at all jobs and runs for what falls due by time alone: occurrences,
 #: leases, leaving workers, sick runs. A plan follows each event, hundreds a second on 176 workers,
 #: and a look goes through 14,000 runs at the target. Unit: seconds.
-LOOK_S = 0.1
+PERIODIC_CHECK_INTERVAL_S = 0.1
 
 
 class Scheduler(RunTracker):
@@ -55,7 +55,7 @@
         self.policy = policy or SchedulingPolicy()
         self.reservations = Reservations(self.policy)
         self.config = None
-        self._looked_at = now - LOOK_S
+        self._last_periodic_check_at = now - PERIODIC_CHECK_INTERVAL_S
         self.starts_deferred_since = None
         self._jobs_known_at = float("-inf")
 
@@ -109,10 +109,10 @@
             return []
         return self._finish(job, JobState.CANCELLED, now)
 
-    def forget_job(self, job_id, state, now):
+    def drop_job(self, job_id, state, now):
         """Drop a job whose end somebody else made durable; return the stops of its runs."""
         job = self.jobs.pop(job_id, None)
-        self._remember_end(job_id, state)
+        self._note_end(job_id, state)
         if job is None:
             return []
         return self._stop_all(job, now, "cancelled")
@@ -132,10 +132,10 @@
                     actions += self._stop(run, now, why)
         return actions
 
-    def _remember_end(self, job_id, state):
+    def _note_end(self, job_id, state):
         self.ended[job_id] = state
 
-    def forget_ended(self, job_id):
+    def drop_ended_job(self, job_id):
         """Forget an ended job whose rows are gone, so that it cannot be read again."""
         self.ended.pop(job_id, None)
 
@@ -171,17 +171,17 @@
         if not job.is_ended or job.recorded_change < job.change:
             return False
         del self.jobs[job_id]
-        self._remember_end(job_id, job.state)
+        self._note_end(job_id, job.state)
         return True
 
     def acknowledged(self, worker):
         """Return the number up to which the worker may forget ends, all of them durable."""
         queue = worker.ack_queue
-        while queue and self._may_be_forgotten(queue[0]):
+        while queue and self._may_be_acknowledged(queue[0]):
             queue.pop(0)
         return queue[0].end.number - 1 if queue else worker.last_ended
 
-    def _may_be_forgotten(self, pending):
+    def _may_be_acknowledged(self, pending):
         """Whether an end is durable, or of a job that certainly does not exist any more.
 
         A job may have been accepted while leaders changed, and its task be done before this leader
@@ -196,7 +196,7 @@
             return job.recorded_change >= pending.change
         if job.is_ended:
             return job.recorded_change >= job.change
-        return not job.is_to_open(pending.end.task)
+        return not job.is_of_future_occurrence(pending.end.task)
 
     # Plans
 
@@ -212,8 +212,8 @@
         """
         actions = []
         self.wall_offset_s = wall_now - now
-        if now >= self._looked_at + LOOK_S:
-            self._looked_at = now
+        if now >= self._last_periodic_check_at + PERIODIC_CHECK_INTERVAL_S:
+            self._last_periodic_check_at = now
             actions = self._run_periodic_checks(now, wall_now)
         actions += self.take_recorded_starts(now)
         return actions + self.hold_unrecorded_starts(plan_starts(self, now, n_wanted), now)
@@ -227,9 +227,9 @@
                 actions += self._take_up(job, now)
         self.lost_leases(now)
         actions += self.review_suspects(now)
-        return actions + self._move_leaving_runs(now) + self._stop_stalled_runs(now)
+        return actions + self._evacuate_runs(now) + self._stop_stalled_runs(now)
 
-    def _move_leaving_runs(self, now):
+    def _evacuate_runs(self, now):
         actions = []
         for run in find_leaving_runs(self, now):
             actions += self._stop(run, now, "worker leaves")
@@ -250,7 +250,7 @@
             ):
                 continue
             task.avoid.add(run.worker.info.worker_id)
-            task.n_given_up += 1
+            task.n_stalled_runs += 1
             if why == "stands still":
                 self._worker_did_badly(run.worker, now)
             else:
@@ -302,7 +302,7 @@
 
         Nor may one whose tasks could not be started for want of their payload.
         """
-        if now < job.hold_back_until:
+        if now < job.starts_delayed_until:
             return False
         if not job.inherited or self.grace_period.is_over(now):
             return True
--- a/anvilflow/jobs/_spec.py
+++ b/anvilflow/jobs/_spec.py
@@ -181,7 +181,7 @@
     def _services(self):
         return frozenset(self.services).union(queue.service for queue in self.queues)
 
-    def names_service(self, name):
+    def has_service(self, name):
         """Whether a service is configured."""
         return name in self._services
 
--- a/anvilflow/jobs/_stalled_runs.py
+++ b/anvilflow/jobs/_stalled_runs.py
@@ -71,7 +71,7 @@
             step_run, task = scheduler.find_task(run.task)
             if task is None or run.reported_clock is None:
                 continue
-            patience = 2**task.n_given_up
+            patience = 2**task.n_stalled_runs
             if _stands_still(run, patience):
                 stalled.append((run, "stands still"))
             elif _looks_slow(run, patience):
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -169,7 +169,7 @@
             if each.matches(suspect.step):
                 each.history.is_trial_exempt = True
                 each.step.job.wake()
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
 
     def _end_trial(self, run):
         run.is_trial = False
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -25,8 +25,8 @@
 
     Notes
     -----
-    `freed` are the workers whose room has grown since the last plan, `needs_whole_plan` says that
-    something concerns more steps than can be told, `planned_whole_at` when such a plan was made.
+    `freed` are the workers whose room has grown since the last plan, `needs_full_plan` says that
+    something concerns more steps than can be told, `last_full_plan_at` when such a plan was made.
     `asking` holds the asks for advice under way, by step, `held_asks` the steps that wait to ask,
     `asked_last` the worker after which the next ask begins.
     """
@@ -43,8 +43,8 @@
         self.asked_last = None
         self.allowed_shares = AllowedShares()
         self.freed = set()
-        self.needs_whole_plan = True
-        self.planned_whole_at = float("-inf")
+        self.needs_full_plan = True
+        self.last_full_plan_at = float("-inf")
         self.nameless = set()
         self.pace_changed_at = {}
         self._first_starts = []
@@ -64,7 +64,7 @@
             self.nameless.discard(info.worker_id)
         worker.update_info(info)
         worker.listed = True
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
         worker.note_leaving(now)
         return is_new
 
@@ -83,7 +83,7 @@
         if worker.confirmed:
             return
         worker.confirmed = True
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
         worker.runs_known = False
         worker.lease_over_at = lease_end(now, self.lease_s)
         n_heard = sum(each.confirmed for each in self.workers.values())
@@ -110,7 +110,7 @@
         """Note which workers the leader's row names, now that it is durable."""
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
-                self.needs_whole_plan = True
+                self.needs_full_plan = True
             worker.in_handover = worker_id in worker_ids
 
     # Runs
--- a/anvilflow/jobs/tests/test_crashes.py
+++ b/anvilflow/jobs/tests/test_crashes.py
@@ -18,7 +18,7 @@
 
 from .test_scheduler import (
     add_job,
-    answer_started,
+    confirm_started,
     make_report,
     make_scheduler,
     make_worker_info,
@@ -40,7 +40,7 @@
     starts = [action for action in actions if isinstance(action, StartRun)]
     for start in starts:
         scheduler.start_sent(start.worker_id, start.task, start.run_id)
-    answer_started(scheduler, starts, now)
+    confirm_started(scheduler, starts, now)
     return starts
 
 
@@ -78,7 +78,7 @@
     """Guards against a third start of a task that has crashed two workers."""
     scheduler = make_scheduler(4)
     [first] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [first], 0.0)
+    confirm_started(scheduler, [first], 0.0)
     [note] = _crash(scheduler, first.worker_id, 0.1)
     assert isinstance(note, NoteLostWorker)
     assert note.runs_and_losses == {TASK: [1, 1]}
@@ -97,7 +97,7 @@
     """Guards against failing a job for workers that are partitioned and may still be running."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.worker_ended(start.worker_id, 4.0, is_replaced=is_confirmed)
     [start] = _plan(scheduler, 4.5)
@@ -110,7 +110,7 @@
     """Guards against counting a network interruption as a crash."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     scheduler.worker_unreachable(start.worker_id, 0.1)
     scheduler.lost_leases(9.0)
     assert list(scheduler.suspects) == [TASK]
@@ -123,7 +123,7 @@
     """Guards against counting the end of a drained worker against the tasks that ran there."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     number = int(start.worker_id.removeprefix("w"))
     scheduler.worker_listed(make_worker_info(number, draining=True), 0.2)
     assert scheduler.worker_ended(start.worker_id, 0.5, is_replaced=True) == []
@@ -134,7 +134,7 @@
     """Guards against accumulating unrelated crashes over the life of a long-running task."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     for round_at in (0.0, 100.0, 200.0, 300.0, 400.0, 500.0):
         _crash(scheduler, start.worker_id, round_at + 1.0)
         [start] = _plan(scheduler, round_at + 2.0)
@@ -148,7 +148,7 @@
     """Guards against failing a job because of a faulty machine."""
     scheduler = make_scheduler(1)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     [start] = _plan(scheduler, 0.5)
     _crash(scheduler, start.worker_id, 0.6)
@@ -159,7 +159,7 @@
     """Guards against a job with many tasks crashing many workers when they are restarted."""
     scheduler = make_scheduler(4)
     starts = add_job(scheduler, StepSpec(n_tasks=4, cpu_milli=1000))
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     for worker_id in {start.worker_id for start in starts}:
         _crash(scheduler, worker_id, 0.1)
     [trial] = _plan(scheduler, 0.5)
@@ -173,7 +173,7 @@
     spec = StepSpec(n_tasks=1, cpu_milli=1000, image="im")
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, spec)
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     [trial] = _plan(scheduler, 0.5)
     assert add_job(scheduler, spec, now=0.6, job_id=OTHER_JOB) == []
@@ -185,7 +185,7 @@
     """Guards against losing other jobs' tasks to the crash of a trial run."""
     scheduler = make_scheduler(2)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     [trial] = _plan(scheduler, 0.5)
     starts = add_job(scheduler, StepSpec(n_tasks=4, cpu_milli=1000), now=0.6, job_id=OTHER_JOB)
@@ -198,7 +198,7 @@
     scheduler = make_scheduler(2)
     spec = StepSpec(n_tasks=1, cpu_milli=1000)
     starts = add_job(scheduler, spec) + add_job(scheduler, spec, job_id=OTHER_JOB)
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     assert len({start.worker_id for start in starts}) == 1
     _crash(scheduler, starts[0].worker_id, 0.1)
     [first, second] = _plan(scheduler, 0.5)
@@ -219,7 +219,7 @@
     """Guards against restarting all suspects of a step at once after further crashes."""
     scheduler = make_scheduler(4)
     starts = add_job(scheduler, StepSpec(n_tasks=4, cpu_milli=1000))
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     for worker_id in {start.worker_id for start in starts}:
         _crash(scheduler, worker_id, 0.1)
     [trial] = _plan(scheduler, 0.5)
@@ -236,7 +236,7 @@
     """Guards against restarting long-running tasks one at a time after two late crashes."""
     scheduler = make_scheduler(4)
     starts = add_job(scheduler, StepSpec(n_tasks=4, cpu_milli=1000, long_running=True))
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     for crash_at in (10.0, 30.0):
         for start in starts:
             _list_worker_runs(scheduler, start, starts, crash_at - 0.1)
@@ -252,9 +252,9 @@
     """Guards against counting crashes of a task whose job another instance has ended."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
-    scheduler.forget_job(JOB, JobState.CANCELLED, 0.2)
+    scheduler.drop_job(JOB, JobState.CANCELLED, 0.2)
     scheduler.review_suspects(0.3)
     assert not scheduler.suspects
 
@@ -263,7 +263,7 @@
     """Guards against a crash that the next leader cannot count."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     assert scheduler.plan(0.5, 0.5) == []
     job = scheduler.jobs[JOB]
@@ -278,7 +278,7 @@
     """Guards against reserving a worker's capacity for a start while the store is unavailable."""
     scheduler = make_scheduler(4)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     assert scheduler.plan(0.5, 0.5) == []
     for now in (2.0, 2.2, 2.4):
@@ -299,7 +299,7 @@
     """Guards against losing the crash count on a takeover and failing a job for a late crash."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(former, [start], 0.0)
+    confirm_started(former, [start], 0.0)
     _crash(former, start.worker_id, 0.1)
     [start] = _plan(former, 0.5)
     job = former.jobs[JOB]
@@ -319,7 +319,7 @@
     """Guards against blaming a task for a worker that had failed before the start reached it."""
     former = make_scheduler(4)
     [start] = add_job(former, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(former, [start], 0.0)
+    confirm_started(former, [start], 0.0)
     _crash(former, start.worker_id, 0.1)
     former.plan(0.5, 0.5)
     job = former.jobs[JOB]
@@ -339,7 +339,7 @@
     """Guards against failing jobs when several workers lose power while suspects are tried."""
     scheduler = make_scheduler(6)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     _crash(scheduler, start.worker_id, 0.1)
     [start] = _plan(scheduler, 0.5)
     idle = [name for name, worker in scheduler.workers.items() if not worker.runs]
--- a/anvilflow/jobs/tests/test_plans.py
+++ b/anvilflow/jobs/tests/test_plans.py
@@ -5,23 +5,23 @@
 from anvilflow.jobs import JobSpec, Queue, RunEnd, StartRun, StepSpec, _placement
 
 from .test_reservations import FIRST, LAST, make_cell, submit
-from .test_scheduler import QUEUE, answer_started, item, make_report, make_scheduler
+from .test_scheduler import QUEUE, confirm_started, make_report, make_run_report, make_scheduler
 
 #: A worker of ten cores holds one of these.
 LARGE = StepSpec(n_tasks=1, cpu_milli=6_000, estimate_s=5.0)
 
 
-def fill(scheduler, n_waiting):
+def fill_workers(scheduler, n_waiting):
     """Fill each worker with one task, and let as many jobs wait; return the starts."""
     starts = []
     for number in range(len(scheduler.workers) + n_waiting):
         starts += submit(scheduler, f"{number:016x}", FIRST, LARGE, 0.0)
     starts = [action for action in starts if isinstance(action, StartRun)]
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     return starts
 
 
-def tell_end(scheduler, start, now):
+def report_end(scheduler, start, now):
     """Let the worker of a run tell that the run is done."""
     end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="done", checkpoint="")
     report = make_report([], [end], clock_s=now)
@@ -42,13 +42,13 @@
     an eighth of a core it was late with its heartbeats, was taken for dead, and so was the next.
     """
     if not safeguard:
-        monkeypatch.setattr(_placement, "WHOLE_PLAN_S", 0.0)
+        monkeypatch.setattr(_placement, "FULL_PLAN_INTERVAL_S", 0.0)
     scheduler = make_cell(30)
-    fill(scheduler, 30)
+    fill_workers(scheduler, 30)
     looked = []
-    original = _placement._is_open
+    original = _placement._is_eligible
     monkeypatch.setattr(
-        _placement, "_is_open", lambda *args: looked.append(args) or original(*args)
+        _placement, "_is_eligible", lambda *args: looked.append(args) or original(*args)
     )
     for number in range(10):
         submit(scheduler, f"{900 + number:016x}", LAST, LARGE, 0.01)
@@ -58,9 +58,9 @@
 def test_room_that_comes_is_used_by_the_next_plan():
     """A task ends a moment after a whole plan: the job that waits does not wait for the next."""
     scheduler = make_cell(3)
-    starts = fill(scheduler, 1)
+    starts = fill_workers(scheduler, 1)
     assert scheduler.plan(0.0, 0.0) == []
-    tell_end(scheduler, starts[0], 0.01)
+    report_end(scheduler, starts[0], 0.01)
     [started] = plan_starts(scheduler, 0.01)
     assert started.worker_id == starts[0].worker_id
 
@@ -68,10 +68,10 @@
 def test_room_that_comes_goes_to_the_most_urgent_job():
     """An urgent job comes after others that wait: the next room is its own."""
     scheduler = make_cell(2)
-    starts = fill(scheduler, 0)
+    starts = fill_workers(scheduler, 0)
     submit(scheduler, "00000000000000c1", LAST, LARGE, 0.0)
     submit(scheduler, "00000000000000c2", FIRST, LARGE, 0.0)
-    tell_end(scheduler, starts[0], 0.01)
+    report_end(scheduler, starts[0], 0.01)
     [started] = plan_starts(scheduler, 0.01)
     assert started.task.startswith("00000000000000c2")
 
@@ -84,11 +84,11 @@
     scheduler = make_cell(1)
     small = StepSpec(n_tasks=2, cpu_milli=4_500, estimate_s=60.0)
     running = submit(scheduler, "00000000000000d1", LAST, small, 0.0)
-    answer_started(scheduler, running, 0.0)
+    confirm_started(scheduler, running, 0.0)
     whole = StepSpec(n_tasks=1, cpu_milli=10_000, estimate_s=1.0)
     submit(scheduler, "00000000000000d2", FIRST, whole, 0.0)
     end = RunEnd(number=1, task=running[0].task, run_id=1, how="done", checkpoint="")
-    report = make_report([item(running[1], 10)], [end], clock_s=0.01)
+    report = make_report([make_run_report(running[1], 10)], [end], clock_s=0.01)
     scheduler.report("w0", report, requested_at=0.01, now=0.01)
     assert plan_starts(scheduler, 0.01) == []
     assert submit(scheduler, "00000000000000d3", LAST, small, 0.02) == []
--- a/anvilflow/jobs/tests/test_reservations.py
+++ b/anvilflow/jobs/tests/test_reservations.py
@@ -14,7 +14,7 @@
     StopRun,
 )
 
-from .test_scheduler import answer_started, item, make_report, make_worker_info
+from .test_scheduler import confirm_started, make_report, make_run_report, make_worker_info
 
 FIRST = Queue(name="first", host="h", prefix="/f/", service="s", priority=0, max_attempts=3)
 LAST = Queue(name="last", host="h", prefix="/l/", service="s", priority=2, max_attempts=3)
@@ -45,11 +45,11 @@
 def end_run(scheduler, run, others, now, number):
     """Let the worker tell that a run has ended and others go on; return what is started."""
     end = RunEnd(number=number, task=run.task, run_id=run.run_id, how="done", checkpoint="")
-    active = [item(other, 10) for other in others]
+    active = [make_run_report(other, 10) for other in others]
     report = make_report(active, [end], clock_s=now)
     scheduler.report("w0", report, requested_at=now, now=now)
     started = starts_of(scheduler.plan(now, now))
-    answer_started(scheduler, started, now)
+    confirm_started(scheduler, started, now)
     return started
 
 
@@ -64,7 +64,7 @@
     scheduler = make_cell(policy=policy)
     small = StepSpec(n_tasks=40, cpu_milli=1000, estimate_s=1.0)
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, small, 0.0))
-    answer_started(scheduler, running, 0.0)
+    confirm_started(scheduler, running, 0.0)
     large = StepSpec(n_tasks=1, cpu_milli=6000, estimate_s=1.0)
     submit(scheduler, "00000000000000a1", FIRST, large, 0.1)
     urgent = []
@@ -86,7 +86,7 @@
     scheduler = make_cell(policy=policy)
     order = StepSpec(n_tasks=3, cpu_milli=3000, estimate_s=30.0, checkpointing=True)
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, order, 0.0))
-    answer_started(scheduler, running, 0.0)
+    confirm_started(scheduler, running, 0.0)
     lookup = StepSpec(n_tasks=1, cpu_milli=2000, estimate_s=1.0)
     actions = submit(scheduler, "00000000000000a1", FIRST, lookup, 1.0)
     stops = [action for action in actions if isinstance(action, StopRun)]
@@ -108,7 +108,7 @@
     scheduler = make_cell()
     order = StepSpec(n_tasks=3, cpu_milli=3000, estimate_s=30.0, **values)
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, order, 0.0))
-    answer_started(scheduler, running, 0.0)
+    confirm_started(scheduler, running, 0.0)
     lookup = StepSpec(n_tasks=1, cpu_milli=2000, estimate_s=1.0)
     actions = submit(scheduler, "00000000000000a1", FIRST, lookup, 1.0)
     assert [action for action in actions if isinstance(action, StopRun)] == []
@@ -119,8 +119,8 @@
     scheduler = make_cell()
     order = StepSpec(n_tasks=3, cpu_milli=3000, estimate_s=2.0, checkpointing=True)
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, order, 0.0))
-    answer_started(scheduler, running, 0.0)
-    report = make_report([item(start, 80) for start in running], clock_s=1.6)
+    confirm_started(scheduler, running, 0.0)
+    report = make_report([make_run_report(start, 80) for start in running], clock_s=1.6)
     scheduler.report("w0", report, requested_at=1.6, now=1.6)
     lookup = StepSpec(n_tasks=1, cpu_milli=2000, estimate_s=1.0)
     actions = submit(scheduler, "00000000000000a1", FIRST, lookup, 1.6)
@@ -132,6 +132,6 @@
     scheduler = make_cell()
     order = StepSpec(n_tasks=3, cpu_milli=3000, estimate_s=30.0, checkpointing=True)
     running = starts_of(submit(scheduler, "00000000000000b1", LAST, order, 0.0))
-    answer_started(scheduler, running, 0.0)
+    confirm_started(scheduler, running, 0.0)
     actions = submit(scheduler, "00000000000000b2", LAST, order, 1.0)
     assert [action for action in actions if isinstance(action, StopRun)] == []
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -62,25 +62,25 @@
     return [action for action in scheduler.plan(now, now) if isinstance(action, StartRun)]
 
 
-def answer_started(scheduler, starts, now):
+def confirm_started(scheduler, starts, now):
     """Let workers say that they have started."""
     for start in starts:
         scheduler.start_answered(start.worker_id, start.task, start.run_id, "started", now)
 
 
-def item(start, percent, load=0.0):
+def make_run_report(start, percent, load=0.0):
     """Return the report of a run in progress."""
     return RunReport(
         task=start.task, run_id=start.run_id, checkpoint="", percent=percent, load=load
     )
 
 
-def watch(scheduler, start, percents, *, period=0.5, load=0.0):
+def report_progress(scheduler, start, percents, *, period=0.5, load=0.0):
     """Report a run's progress at a fixed period; return all that is decided meanwhile."""
     actions = []
     for number, percent in enumerate(percents, start=1):
         now = number * period
-        report = make_report([item(start, percent, load)], clock_s=now)
+        report = make_report([make_run_report(start, percent, load)], clock_s=now)
         actions += scheduler.report(start.worker_id, report, requested_at=now, now=now)
         actions += scheduler.plan(now, now)
     return actions
@@ -90,8 +90,8 @@
     """A worker with good health hangs: the run's progress stays at 30 percent."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
-    answer_started(scheduler, [start], 0.0)
-    actions = watch(scheduler, start, [30, 30, 30, 30, 30])
+    confirm_started(scheduler, [start], 0.0)
+    actions = report_progress(scheduler, start, [30, 30, 30, 30, 30])
     assert [action.why for action in actions if isinstance(action, StopRun)] == ["stands still"]
     assert scheduler.workers[start.worker_id].n_bad >= 1
 
@@ -100,8 +100,8 @@
     """The run takes twice its estimate, as sound ones may."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
-    answer_started(scheduler, [start], 0.0)
-    assert watch(scheduler, start, [25, 50, 75, 99]) == []
+    confirm_started(scheduler, [start], 0.0)
+    assert report_progress(scheduler, start, [25, 50, 75, 99]) == []
 
 
 def test_run_on_a_slow_worker_is_made_again_elsewhere():
@@ -112,10 +112,10 @@
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=2, cpu_milli=1000, estimate_s=1.0, max_per_worker=1)
     [start, other] = add_job(scheduler, step)
-    answer_started(scheduler, [start, other], 0.0)
+    confirm_started(scheduler, [start, other], 0.0)
     end = RunEnd(number=1, task=other.task, run_id=1, how="done", checkpoint="")
     scheduler.report(other.worker_id, make_report(ended=[end]), requested_at=0.9, now=0.9)
-    actions = watch(scheduler, start, [2, 4, 6, 8, 10, 12])
+    actions = report_progress(scheduler, start, [2, 4, 6, 8, 10, 12])
     assert [action.why for action in actions if isinstance(action, StopRun)] == ["slow"]
 
 
@@ -124,11 +124,11 @@
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=2, cpu_milli=1000, estimate_s=1.0, max_per_worker=1)
     starts = add_job(scheduler, step)
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     for number in range(1, 12):
         now = number * 0.5
         for start in starts:
-            report = make_report([item(start, 2 * number)], clock_s=now)
+            report = make_report([make_run_report(start, 2 * number)], clock_s=now)
             scheduler.report(start.worker_id, report, requested_at=now, now=now)
         assert scheduler.plan(now, now) == []
 
@@ -138,8 +138,8 @@
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0, speculative=True)
     [start] = add_job(scheduler, step)
-    answer_started(scheduler, [start], 0.0)
-    actions = watch(scheduler, start, [30, 30, 30, 30])
+    confirm_started(scheduler, [start], 0.0)
+    actions = report_progress(scheduler, start, [30, 30, 30, 30])
     [copy] = [action for action in actions if isinstance(action, StartRun)]
     assert copy.worker_id != start.worker_id
     assert not [action for action in actions if isinstance(action, StopRun)]
@@ -152,8 +152,8 @@
     """A task that serves stays at 100 percent for as long as it runs."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
-    answer_started(scheduler, [start], 0.0)
-    assert watch(scheduler, start, [100] * 20) == []
+    confirm_started(scheduler, [start], 0.0)
+    assert report_progress(scheduler, start, [100] * 20) == []
 
 
 def test_worker_that_fails_everything_gets_less_and_less_work():
@@ -189,10 +189,10 @@
         StepSpec(n_tasks=1, cpu_milli=4000, fills=True, estimate_s=60.0),
         job_id="00000000000000a2",
     )
-    answer_started(scheduler, [serve, fill], 0.0)
+    confirm_started(scheduler, [serve, fill], 0.0)
 
     def report(now, tail_ms):
-        active = [item(serve, 100, tail_ms), item(fill, 10)]
+        active = [make_run_report(serve, 100, tail_ms), make_run_report(fill, 10)]
         actions = scheduler.report("w0", make_report(active), requested_at=now, now=now)
         return [action.percent for action in actions if isinstance(action, SetPace)]
 
@@ -230,8 +230,8 @@
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=5.0, checkpointing=True)
     [start] = add_job(scheduler, step)
-    answer_started(scheduler, [start], 0.0)
-    report = make_report([item(start, percent)], clock_s=1.0)
+    confirm_started(scheduler, [start], 0.0)
+    report = make_report([make_run_report(start, percent)], clock_s=1.0)
     scheduler.report(start.worker_id, report, requested_at=1.0, now=1.0)
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=left_s), 1.0)
@@ -243,7 +243,7 @@
     """It serves as long as it can, and is started elsewhere before its users would miss it."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=4.0), 1.0)
     assert scheduler.plan(2.0, 2.0) == []
@@ -263,7 +263,7 @@
     """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     number = int(start.worker_id[1:])
     scheduler.workers[start.worker_id].lease_over_at = 99.0
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=2.0), 1.0)
@@ -281,11 +281,13 @@
     """It was started anew at its network, say; one more answer that is lost means nothing."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     number = int(start.worker_id[1:])
     scheduler.worker_listed(make_worker_info(number, draining=True, leaves_in_s=0.5), 0.0)
     scheduler.worker_unreachable(start.worker_id, 0.6, connection_refused=True)
-    scheduler.report(start.worker_id, make_report([item(start, 10)]), requested_at=0.7, now=0.7)
+    scheduler.report(
+        start.worker_id, make_report([make_run_report(start, 10)]), requested_at=0.7, now=0.7
+    )
     scheduler.worker_unlisted(start.worker_id)
     scheduler.workers[start.worker_id].lease_over_at = 99.0
     assert scheduler.plan(1.0, 1.0) == []
@@ -299,9 +301,9 @@
     """
     scheduler = make_scheduler(n_workers=2)
     [first] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [first], 0.0)
+    confirm_started(scheduler, [first], 0.0)
     scheduler.worker_unreachable(first.worker_id, 0.0)
-    [second] = [item for item in scheduler.plan(9.0, 9.0) if isinstance(item, StartRun)]
+    [second] = [action for action in scheduler.plan(9.0, 9.0) if isinstance(action, StartRun)]
     for start, now in ((second, 10.0), (first, 11.0)):
         end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="failed", checkpoint="")
         scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=now, now=now)
@@ -318,13 +320,13 @@
     """
     scheduler = make_scheduler(n_workers=1)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     ends = [
         RunEnd(number=number, task="f" * 16 + ".0.0.0", run_id=1, how="done", checkpoint="")
         for number in range(1, n_ends + 1)
     ]
     scheduler.report("w0", make_report(ended=ends), requested_at=1.0, now=1.0)
-    again = [item for item in scheduler.plan(1.0, 1.0) if isinstance(item, StartRun)]
+    again = [action for action in scheduler.plan(1.0, 1.0) if isinstance(action, StartRun)]
     assert bool(again) is (n_ends < 500)
 
 
@@ -336,7 +338,7 @@
     """
     scheduler = make_scheduler()
     for number in range(3000):
-        scheduler.forget_job(f"{number:016x}", JobState.COMPLETED, 0.0)
+        scheduler.drop_job(f"{number:016x}", JobState.COMPLETED, 0.0)
     step = StepSpec(n_tasks=1, cpu_milli=1000)
     assert add_job(scheduler, step, job_id=f"{0:016x}") == []
 
@@ -344,8 +346,8 @@
 def test_memory_of_ended_jobs_goes_with_their_rows():
     """What is remembered is bounded by the time for which rows are kept."""
     scheduler = make_scheduler()
-    scheduler.forget_job("00000000000000a1", JobState.COMPLETED, 0.0)
-    scheduler.forget_ended("00000000000000a1")
+    scheduler.drop_job("00000000000000a1", JobState.COMPLETED, 0.0)
+    scheduler.drop_ended_job("00000000000000a1")
     assert scheduler.ended == {}
 
 
@@ -361,7 +363,7 @@
     scheduler = make_scheduler(n_workers=20)
     for number in range(100):
         step = StepSpec(n_tasks=1, cpu_milli=100)
-        answer_started(scheduler, add_job(scheduler, step, job_id=f"{number:016x}"), 0.0)
+        confirm_started(scheduler, add_job(scheduler, step, job_id=f"{number:016x}"), 0.0)
     looked = []
     original = StepRun.waiting
     monkeypatch.setattr(StepRun, "waiting", lambda self: looked.append(self) or original(self))
@@ -373,7 +375,7 @@
     """A task fails while its job rests: it is started once more."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     assert scheduler.plan(0.01, 0.01) == []
     end = RunEnd(number=1, task=start.task, run_id=1, how="failed", checkpoint="")
     scheduler.report(start.worker_id, make_report(ended=[end]), requested_at=0.5, now=0.5)
@@ -390,11 +392,13 @@
     """
     scheduler = make_scheduler(n_workers=1)
     [start, other] = add_job(scheduler, StepSpec(n_tasks=2, cpu_milli=1000))
-    answer_started(scheduler, [start, other], 0.0)
+    confirm_started(scheduler, [start, other], 0.0)
     job_id = start.task.split(".")[0]
     scheduler.cancel_job(job_id, 0.5)
     end = RunEnd(number=1, task=start.task, run_id=1, how="done", checkpoint="")
-    scheduler.report("w0", make_report([item(other, 10)], [end]), requested_at=0.6, now=0.6)
+    scheduler.report(
+        "w0", make_report([make_run_report(other, 10)], [end]), requested_at=0.6, now=0.6
+    )
     worker = scheduler.workers["w0"]
     assert scheduler.acknowledged(worker) == 0
     scheduler.recorded(job_id, scheduler.jobs[job_id].change, 0.7)
@@ -406,7 +410,7 @@
     """The others waited at work for the missing one until they ended alone."""
     scheduler = make_scheduler(3)
     starts = add_job(scheduler, StepSpec(n_tasks=3, cpu_milli=6_000, gang=True))
-    answer_started(scheduler, starts[:2], 0.1)
+    confirm_started(scheduler, starts[:2], 0.1)
     last = starts[2]
     actions = scheduler.start_answered(last.worker_id, last.task, last.run_id, outcome, 0.2)
     stopped = {action.task for action in actions if isinstance(action, StopRun)}
--- a/anvilflow/jobs/tests/test_sickness.py
+++ b/anvilflow/jobs/tests/test_sickness.py
@@ -13,14 +13,23 @@
     _stalled_runs,
 )
 
-from .test_scheduler import QUEUE, add_job, answer_started, item, make_report, make_scheduler
+from .test_scheduler import (
+    QUEUE,
+    add_job,
+    confirm_started,
+    make_report,
+    make_run_report,
+    make_scheduler,
+)
 
 
 def report_all(scheduler, percents, now, *, clock_s=None):
     """Let each worker report its runs' progress, then plan; return what is decided."""
     actions = []
     for start, percent in percents:
-        report = make_report([item(start, percent)], clock_s=now if clock_s is None else clock_s)
+        report = make_report(
+            [make_run_report(start, percent)], clock_s=now if clock_s is None else clock_s
+        )
         actions += scheduler.report(start.worker_id, report, requested_at=now, now=now)
     return actions + scheduler.plan(now, now)
 
@@ -43,7 +52,7 @@
     """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     assert report_all(scheduler, [(start, 20)], 0.2) == []
     assert stops(report_all(scheduler, [(start, 20)], 0.85)) == ["stands still"]
 
@@ -52,7 +61,7 @@
     """A link loses packets: two reports of neighbouring moments arrive a second apart."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     assert report_all(scheduler, [(start, 20)], 0.2, clock_s=0.20) == []
     assert report_all(scheduler, [(start, 20)], 1.3, clock_s=0.21) == []
 
@@ -64,7 +73,7 @@
     """
     scheduler = make_scheduler(n_workers=4)
     starts = add_job(scheduler, make_step())
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     slow, *others = starts
     actions = report_all(scheduler, [(slow, 9), *((s, 60) for s in others)], 0.6)
     assert stops(actions) == ["slow"]
@@ -77,7 +86,7 @@
     """What a sound worker of the slower kind does with a task of the longer kind."""
     scheduler = make_scheduler(n_workers=4)
     starts = add_job(scheduler, make_step())
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     slow, *others = starts
     assert report_all(scheduler, [(slow, percent), *((s, 60) for s in others)], 0.6) == []
 
@@ -94,7 +103,7 @@
     _, task = scheduler.find_task(start.task)
     run = task.runs[start.worker_id]
     run.resumes = True
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     assert report_all(scheduler, [(start, 40)], 0.05) == []
     stopped = stops(report_all(scheduler, [(start, 40)], 0.68))
     assert (stopped == []) is safeguard
@@ -110,12 +119,12 @@
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     _, task = scheduler.find_task(start.task)
     n_starts, now = 1, 0.0
-    answer_started(scheduler, [start], 0.0)
+    confirm_started(scheduler, [start], 0.0)
     while now < 20.0:
         now += 0.25
         actions = report_all(scheduler, [(start, 30)], now)
         if not safeguard:
-            task.n_given_up = 0
+            task.n_stalled_runs = 0
         if stops(actions):
             scheduler.stop_answered(start.worker_id, start.task, start.run_id, now)
             report = make_report(clock_s=now + 0.1)
@@ -125,7 +134,7 @@
             if isinstance(action, StartRun):
                 start = action
                 n_starts += 1
-                answer_started(scheduler, [start], now + 0.2)
+                confirm_started(scheduler, [start], now + 0.2)
     assert (n_starts <= 6) is safeguard
 
 
@@ -153,7 +162,7 @@
     scheduler = make_scheduler(n_workers=5)
     step = StepSpec(n_tasks=5, cpu_milli=1000, estimate_s=4.0, max_per_worker=1)
     starts = add_job(scheduler, step)
-    answer_started(scheduler, starts, 0.0)
+    confirm_started(scheduler, starts, 0.0)
     *ended, first, second = starts
     for start in ended:
         run = scheduler.find_task(start.task)[1].runs[start.worker_id]
