--- a/anvilflow/jobs/__init__.py
+++ b/anvilflow/jobs/__init__.py
@@ -1,4 +1,4 @@
-"""Jobs of a cell: what clients submit and what is decided next, without input or output."""
+"""Jobs, workers and scheduling decisions of a cell, free of input and output."""
 
 from ._actions import (
     NoteCrashingTask,
--- a/anvilflow/jobs/_actions.py
+++ b/anvilflow/jobs/_actions.py
@@ -1,10 +1,13 @@
-"""What the scheduler wants done."""
+"""Actions that the scheduler returns for the leader to carry out."""
 
 from msgspec import Struct, UnsetType
 
 
 class StartRun(Struct, kw_only=True):
-    """Start a task on a worker; `payload` is left out where the leader does not hold it."""
+    """Start a task on a worker; `payload` is UNSET where the leader does not hold it.
+
+    `ticket` is the advice service's permission to run the step there; empty where none is needed.
+    """
 
     worker_id: str
     task: str
@@ -15,7 +18,10 @@
 
 
 class StopRun(Struct, kw_only=True):
-    """Stop a run, and bar it where it has not arrived yet."""
+    """Stop a run; a worker that has not received its start yet must refuse that start.
+
+    `why` is the reason, for logs.
+    """
 
     worker_id: str
     task: str
@@ -24,7 +30,7 @@
 
 
 class SetPace(Struct, kw_only=True):
-    """Let a run work at a share of its speed. Unit: percent."""
+    """Limit a run to a share of its full speed. Unit: percent."""
 
     worker_id: str
     task: str
@@ -33,7 +39,10 @@
 
 
 class RequestAdvice(Struct, kw_only=True):
-    """Ask which of some workers may run a step; `length_s` is how long the answer takes."""
+    """Request advice on which of the given workers may run a step.
+
+    `length_s` is the expected duration of the request. Unit: seconds.
+    """
 
     step: str
     workers: list[str]
@@ -47,8 +56,9 @@
     ----------
     worker_id, address : str
     known_by : str
-        ``replaced``: another incarnation answers at its address. ``unlisted``: it did not answer
-        and its entry remained absent; it may be partitioned rather than dead.
+        How the loss was detected. ``replaced``: another incarnation answers at the worker's
+        address. ``unlisted``: the worker did not answer and its registry entry remained absent; it
+        may be partitioned rather than dead.
     tasks : list of str
         Tasks that were running there.
     runs_and_losses : dict of str to list of int
@@ -81,18 +91,19 @@
 
 
 class NoteWait(Struct, kw_only=True):
-    """Say why tasks of a step wait.
+    """Report why tasks of a step are waiting.
 
     Parameters
     ----------
     step : str
     n_waiting : int
+        Tasks of the step that are waiting.
     n_allowed, n_refused : int
-        Workers that advice has allowed at some time, and those that it has not.
+        Workers that the advice service has allowed at some time, and those that it has refused.
     n_open : int
-        Workers that may run the step and take work now.
+        Workers that may run the step and accept work now.
     n_with_room : int
-        Those of them on which a task fits.
+        Open workers with enough free capacity for a task.
     """
 
     step: str
--- a/anvilflow/jobs/_job.py
+++ b/anvilflow/jobs/_job.py
@@ -1,16 +1,16 @@
-"""State of one job at the leader: occurrences, steps and tasks."""
+"""State of a job on the leader: its occurrences, steps and tasks."""
 
 from enum import StrEnum
 
 from ._crash_history import CrashHistory
 from ._record import JobRecord
 
-#: Time for which a task that is to last waits behind more urgent jobs. Unit: seconds.
+#: Longest time that a long-running task waits behind more urgent jobs. Unit: seconds.
 MAX_DOWNTIME_S = 2.0
 
 
 class TaskState(StrEnum):
-    """Where a task stands."""
+    """State of a task."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -18,7 +18,7 @@
 
 
 class JobState(StrEnum):
-    """What a client is told of a job."""
+    """State of a job, as reported to clients."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -27,12 +27,18 @@
     CANCELLED = "cancelled"
 
 
-#: States after which a job changes no more.
+#: Final states of a job.
 ENDED_STATES = frozenset({JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED})
 
 
 class Task:
-    """One task; `runs` are its starts that have not been listed as ended."""
+    """One task of a step.
+
+    `runs` holds by worker the runs that have not been reported as ended. `avoid` holds the workers
+    on which the task failed, stalled or was slow; others are preferred. `failed_runs` holds the
+    numbers of the failed runs; the first task of a gang holds those of all its members.
+    `n_stalled_runs` counts the runs that were found stalled or slow.
+    """
 
     __slots__ = (
         "avoid",
@@ -65,7 +71,12 @@
 
 
 class StepRun:
-    """One step of one occurrence."""
+    """One step of one occurrence of a job.
+
+    `tickets` holds by worker the advice service's permission to run the step there and its expiry,
+    `refused` the workers that the advice service has refused. `copies` lists the tasks that need a
+    second run beside a stalled or slow one.
+    """
 
     __slots__ = (
         "copies",
@@ -102,20 +113,20 @@
 
     @property
     def is_done(self):
-        """Whether all tasks are done; long-running ones never are."""
+        """Whether all tasks are done; long-running tasks never are."""
         return self.n_done == len(self.tasks)
 
     @property
     def may_request_advice_early(self):
-        """Whether advice may be asked for while the steps before still run."""
+        """Whether advice may be requested while the preceding steps are still running."""
         return self.ready_at is None and self.job.queue.advice is not None
 
     def waiting(self):
-        """Return the tasks that have no run."""
+        """Return the tasks that are waiting for a run."""
         return [task for task in self.tasks if task.state is TaskState.WAITING]
 
     def n_tasks_on(self, worker_id):
-        """Number of the step's tasks that have a run on a worker."""
+        """Return the number of the step's tasks that have a run on a worker."""
         return sum(worker_id in task.runs for task in self.tasks)
 
 
@@ -127,13 +138,14 @@
     spec : JobSpec
     queue : Queue
     version : int
-        Version of its row: the condition under which its end is written.
+        Version of the job's row. The end of the job is written on condition that the row still has
+        this version.
     now, wall_now : float
         Steady time and time of day. Unit: seconds.
     record : JobRecord, default=None
-        Progress that an earlier leader wrote.
+        Progress that an earlier leader made durable.
     inherited : bool, default=False
-        Whether an earlier leader may have started tasks of it.
+        Whether an earlier leader may have started tasks of the job.
     """
 
     __slots__ = (
@@ -185,20 +197,21 @@
 
     @property
     def job_id(self):
-        """The client's name of the job."""
+        """Identifier under which clients refer to the job."""
         return self.spec.job_id
 
     def urgency(self, now):
-        """Return the key by which jobs are planned: the priority, then when it should be done.
+        """Return the sort key of the job in a plan: its priority, then its target completion time.
 
-        A task that is to last and has been down for long comes before all others: behind a burst
-        of more urgent jobs that did not end, its users waited as long.
+        A job with a long-running task that has had no run for more than :data:`MAX_DOWNTIME_S` is
+        planned before all others. Otherwise, its users would get no service for as long as a burst
+        of more urgent jobs lasts.
         """
         is_overdue = self.is_long_running and self._downtime_s(now) > MAX_DOWNTIME_S
         return (float("-inf") if is_overdue else self.queue.priority, self.due_by)
 
     def _downtime_s(self, now):
-        """Return for how long a task that could run has had no run. Unit: seconds."""
+        """Return the longest time that a task of a ready step has had no run. Unit: seconds."""
         waiting_since = [
             task.waiting_since
             for step in self.steps.values()
@@ -208,15 +221,15 @@
         return now - min(waiting_since, default=now)
 
     def wake(self):
-        """Have the job planned anew: something of it has changed."""
+        """Mark the job as changed, so that the next plan includes it."""
         self.is_idle = False
         self.is_changed = True
 
     def suspend_if_idle(self):
-        """Leave the job out of plans until something happens to it: nothing of it waits.
+        """Leave the job out of plans until its next change, if none of its tasks is waiting.
 
-        Most jobs run. To look at each of their tasks after every event took a leader of 950 workers
-        and 14,000 tasks 6.9 ms.
+        Most jobs in a cell have only running tasks. A check of each of these tasks after every
+        event took 6.9 ms on a leader with 950 workers and 14,000 tasks.
         """
         self.is_idle = not any(
             step.copies
@@ -227,7 +240,7 @@
         )
 
     def open_occurrences(self, now, wall_now):
-        """Create the steps of each occurrence that is due; return whether any was created."""
+        """Create the steps of all occurrences that are due; return whether any were created."""
         n_due = 1
         if self.spec.n_occurrences:
             since = wall_now - self.spec.first_at
@@ -247,9 +260,9 @@
         return opened
 
     def is_of_future_occurrence(self, name):
-        """Whether a task is of an occurrence that is not due yet by the clock of this leader.
+        """Whether a task belongs to an occurrence that is not due yet by this leader's clock.
 
-        The clocks of instances differ, and a former leader may have begun the occurrence.
+        The clocks of instances differ, so that a former leader may have begun the occurrence.
         """
         try:
             _, occurrence, _, _ = name.split(".")
@@ -258,7 +271,7 @@
             return False
 
     def mark_ready(self, now):
-        """Note the moment at which each step's predecessors were done."""
+        """Mark the steps whose preceding steps are all done as ready since `now`."""
         self.wake()
         for (occurrence, _), step in self.steps.items():
             if step.ready_at is None and all(
@@ -284,20 +297,20 @@
             return None, None
 
     def touch(self, now):
-        """Note a change that has to become durable."""
+        """Note a change of the job's progress that must become durable."""
         self.change += 1
         if self.changed_at is None:
             self.changed_at = now
 
     def finish(self, state, now):
-        """Give the job its final state."""
+        """Set the job's final state."""
         self.state = state
         self.touch(now)
 
     # Durable progress
 
     def to_record(self):
-        """Return the job's progress for the store."""
+        """Return the job's durable progress, to be written to the store."""
         record = JobRecord(
             begun=self.begun,
             done_steps=[],
@@ -350,7 +363,7 @@
 
 
 def longest_chain_s(steps):
-    """Return the longest chain of estimated work through a job's steps. Unit: seconds.
+    """Return the estimated duration of the longest chain of dependent steps. Unit: seconds.
 
     Examples
     --------
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -1,4 +1,4 @@
-"""Which waiting task goes to which worker, and in which order."""
+"""Placement of waiting tasks on workers, in the order of urgency."""
 
 from ._actions import NoteWait, StartRun
 from ._advice import ask, ask_ahead, ask_held, drop_old_asks, has_ticket
@@ -6,24 +6,25 @@
 from ._ranking import Ranking
 from ._reservations import Reservations
 
-#: Time for which tasks wait before the log says why, and then again. Unit: seconds.
+#: Time for which tasks wait before the reason is logged, and between repeated logs. Unit: seconds.
 NOTE_WAIT_S = 1.5
 
-#: Least time between two plans that look at every waiting step with every worker. In between only
-#: what has changed is planned: after each event anew, 23 waiting steps with 270 workers took the
-#: deciding instance most of its processor. Unit: seconds.
+#: Minimum time between two full plans, which match every waiting step with every worker. The plans
+#: in between cover only what has changed: with a full plan after each event, 23 waiting steps and
+#: 270 workers took most of the leader's processor time. Unit: seconds.
 FULL_PLAN_INTERVAL_S = 0.1
 
 
 def plan_starts(scheduler, now, n_wanted=None):
-    """Return the starts and asks that are due, in the order of urgency.
+    """Return the starts and advice requests that are due, in the order of urgency.
 
-    A waiting step that found no place finds one only on a worker whose room has grown, or once
-    something of the step itself has changed. What changes by time alone, as the end of a ticket or
-    of a worker's rest, is seen by the next whole plan.
+    A waiting step that could not be placed can only be placed on a worker that has gained free
+    capacity, or after a change of the step itself. What changes by time alone, such as the expiry
+    of a ticket or the end of a worker's back-off, is left to the next full plan.
 
-    After `n_wanted` starts the rest is left to a later plan. A start that is decided before it can
-    be sent takes room from others, and can no longer go to where there is more.
+    After `n_wanted` starts, further tasks are left to a later plan. A start that is decided before
+    it can be sent occupies capacity that others could use, and can no longer go to a worker that
+    becomes free meanwhile.
     """
     drop_old_asks(scheduler, now)
     if n_wanted is not None and n_wanted <= 0:
@@ -59,7 +60,7 @@
 
 
 def _waiting_jobs(scheduler, include_all):
-    """Return the jobs with tasks to place: all, or those that have changed."""
+    """Return the jobs with waiting tasks: all of them, or only the changed ones."""
     return [
         job
         for job in scheduler.jobs.values()
@@ -80,7 +81,7 @@
         if not waiting:
             continue
         if not scheduler.may_start(job, now):
-            # The answer is there when the workers have been heard.
+            # Requested now, so that the answer is there by the time all workers have responded.
             actions += ask(scheduler, step, now)
             continue
         scheduler.reservations.release(step)
@@ -93,7 +94,7 @@
 
 
 def _plan_on_freed_workers(scheduler, job, freed, now):
-    """Place tasks of a job that waits where room has come; the rest is as the last plan left it."""
+    """Place waiting tasks of an unchanged job on the workers that have gained free capacity."""
     actions = []
     for step in job.steps.values():
         if step.is_done or step.ready_at is None:
@@ -114,7 +115,7 @@
 
 
 def _tasks_to_copy(step):
-    """Return the tasks of which a second run is wanted and does not exist yet."""
+    """Return the tasks that need a second run and do not have one yet."""
     step.copies = [
         task for task in step.copies if task.state is TaskState.RUNNING and len(task.runs) == 1
     ]
@@ -125,14 +126,14 @@
 
 
 def _candidates(scheduler, step, now):
-    """Return the workers on which the step may run and that take work now."""
+    """Return the workers that accept work now and may run the step."""
     names = scheduler.workers if step.job.queue.advice is None else step.tickets
     workers = [scheduler.workers[name] for name in names if name in scheduler.workers]
     return [worker for worker in workers if _is_eligible(scheduler, step, worker, now)]
 
 
 def _is_eligible(scheduler, step, worker, now):
-    """Whether a worker takes work now, and the step may run there."""
+    """Whether a worker accepts work now and may run the step."""
     info = worker.info
     if info.service != step.job.queue.service or not worker.accepts(now):
         return False
@@ -158,7 +159,7 @@
 
 
 def _place(scheduler, step, waiting, workers, now):
-    """Return the starts of as many tasks as find a place on some workers."""
+    """Return the starts of the tasks that fit on the given workers, in the order of the tasks."""
     actions = []
     reserve = scheduler.reserve_share(step)
     fitting = [worker for worker in workers if worker.fits(step.spec)]
@@ -174,7 +175,7 @@
 
 
 def _note_wait(step, n_waiting, workers, now):
-    """Say why tasks of a step wait, every now and then."""
+    """Return a note on why tasks of a step are waiting, at most every :data:`NOTE_WAIT_S`."""
     if now - max(step.ready_at, step.wait_noted_at) < NOTE_WAIT_S:
         return []
     step.wait_noted_at = now
@@ -190,7 +191,10 @@
 
 
 def _start_gang(scheduler, step, waiting, now):
-    """Start all tasks of a gang, or none: a part of it would only wait, and end as alone."""
+    """Return the starts of all tasks of a gang, or of none if they do not all fit.
+
+    A part of a gang cannot work: its members wait for the others and then end as ``alone``.
+    """
     if len(waiting) < len(step.tasks):
         return []
     workers = [
@@ -224,7 +228,7 @@
 
 
 def _fit_gang(step, waiting, workers):
-    """Return a worker for each task of the gang, or None when there is no room for all."""
+    """Return a worker for each task of the gang, or None when the tasks do not all fit."""
     spec = step.spec
     slots = []
     for worker in workers:
--- a/anvilflow/jobs/_policy.py
+++ b/anvilflow/jobs/_policy.py
@@ -1,4 +1,4 @@
-"""Thresholds and switches of the scheduler's decisions, as operators may set them."""
+"""Scheduling policy: the thresholds and switches that operators can set."""
 
 from typing import Annotated
 
@@ -12,54 +12,60 @@
 
 
 class SchedulingPolicy(Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """What the scheduler prefers; nothing here can break what it promises.
+    """Preferences of the scheduler; no value allowed here can violate its invariants.
 
     Parameters
     ----------
     reserve_share : float, default=0.1
-        Share of a worker's processor that is left to the most urgent queue of its service. Its
-        tasks otherwise find every worker full of long ones and wait 0.2 to 0.9 s for the next end;
-        a share is about one of its tasks on a worker. 0: none.
+        Share of each worker's processor that is reserved for the most urgent queue of its service.
+        Without a reserve, tasks of that queue find every worker occupied by long tasks and wait 0.2
+        to 0.9 s until one of these ends. The default leaves space for about one such task on each
+        worker. 0: no reserve.
     max_reserved : int, default=6
-        Workers that one step keeps free at once at the most. More would empty a small cell for one
-        job. 0: none are kept.
+        Maximum number of workers reserved for one step at a time. A higher limit would empty a
+        small cell for a single job. 0: no worker is reserved.
     preempt_s : float or None, default=1.2
-        Wait for room after which less urgent runs are stopped for it, when they can resume from a
-        checkpoint. A stop takes up to 0.9 s, loses up to 0.5 s of the run's work and 0.6 s for its
-        return: shorter waits are left alone. None: nothing is stopped. Unit: seconds.
+        Less urgent runs that can resume from a checkpoint are stopped for a task that would
+        otherwise wait longer than this for free capacity. A stop takes up to 0.9 s and costs up to
+        0.5 s of the run's work plus 0.6 s to resume, so that preemption does not pay for shorter
+        waits. None: no preemption. Unit: seconds.
     backfills : bool, default=True
-        Whether less urgent tasks may use a worker that is kept free, where they leave the room that
-        it is kept for, or end before that room is there.
+        Whether less urgent tasks may use a reserved worker, provided that they leave the reserved
+        capacity free or end before it becomes available.
     judges_runs : bool, default=True
-        Whether runs that stand still or crawl are given up for others.
+        Whether stalled and slow runs are replaced by new ones.
     avoids_slow : bool, default=True
-        Whether workers on which tasks took several times their estimates come last.
+        Whether workers on which tasks took several times their estimated duration are chosen last.
     slow_times : float, default=3.0
-        Times that sound workers take for a task after which a run is slow. Workers are 1.25 times
-        as fast or as slow as the mean, and tasks of a step differ by a half: at 2.2 times, 35 runs
-        were stopped in a day without slow workers, at three times 9. Sick ones take four to eight
-        times as long.
+        Factor by which a run must exceed the duration of its task on healthy workers to count as
+        slow. The speeds of healthy workers differ from the mean by a factor of up to 1.25, and the
+        tasks of a step differ in length by a half. In a scenario without slow workers, a factor of
+        2.2 stopped 35 runs, a factor of 3 stopped 9. Faulty workers take four to eight times as
+        long.
     copies : bool, default=True
-        Whether a second run is started beside one that is given up, where the step allows it.
+        Whether a second run is started beside a stalled or slow one, where the step allows it.
     asks_ahead : bool, default=True
-        Whether advice is asked for before the tasks of a step can start.
+        Whether advice is requested before the tasks of a step can start.
     ask_ahead_s : float, default=0.35
-        How much before, beyond the ask's own length: estimates of the running step are off by a
-        fifth and more. Unit: seconds.
+        How long before the expected end of the preceding steps advice is requested, in addition to
+        the duration of the request. Estimates of the running steps are off by a fifth and more.
+        Unit: seconds.
     asks_by_need : bool, default=True
-        Whether advice is asked about as many workers as the tasks without a place need, those with
-        room first; else about the first hundred.
+        Whether an advice request names only as many workers as the tasks that are not placed yet
+        need, those with free capacity first. Otherwise, it names the first hundred workers.
     ask_times, ask_more : float, default=1.5 and 3
-        Places that are asked for: so many times the tasks without one, and so many more. A second
-        ask takes as long as one about 70 further workers, so that a few too many are cheap.
+        Number of task places that an advice request should find: `ask_times` times the tasks that
+        are not placed yet, plus `ask_more`. A second request takes as long as naming 70 more
+        workers in the first, so that a few too many are cheap.
     long_ask_share : float, default=0.6
-        Share of the instances that may be busy with long asks at once. After a take-over and in
-        bursts of heavy jobs all were, and quick tasks waited 0.8 to 1.6 s for an answer of 0.05 s.
-        2: no limit, as an instance carries two asks at the most.
+        Share of the instances that may make long advice requests at the same time. Without this
+        limit, all instances were busy with long requests after a take-over and during bursts of
+        heavy jobs, and quick tasks waited 0.8 to 1.6 s for a request of 0.05 s. 2: no limit, as an
+        instance makes at most two requests at a time.
 
     Notes
     -----
-    A setting that is not known or out of its bounds is refused as a whole.
+    A policy with an unknown setting or a value out of its bounds is rejected as a whole.
 
     Examples
     --------
--- a/anvilflow/jobs/_ranking.py
+++ b/anvilflow/jobs/_ranking.py
@@ -1,4 +1,4 @@
-"""Which of the workers with room takes a task."""
+"""Ranking of the workers with enough free capacity for a task."""
 
 import heapq
 
@@ -8,7 +8,7 @@
 
 
 class _TaskWithoutHistory(Struct, frozen=True):
-    """What costs depend on, of a task without a history."""
+    """Stand-in for any task without failures or lost workers, for the calculation of costs."""
 
     avoid: tuple[str, ...] = ()
     crash_history: None = None
@@ -18,14 +18,16 @@
 
 
 def _has_no_history(task):
-    """Whether the task costs the same on each worker as most others of its step."""
+    """Whether the costs of a task are the same as those of most other tasks of its step."""
     return not task.avoid and task.crash_history is None
 
 
 class Ranking:
-    """Workers by the cost of a task without a history: one that takes a task alone is ranked anew.
+    """Ranks the workers by their cost for a task of a step.
 
-    Ranked anew for each task, the 72 workers of a cell took most of the processor of a start.
+    The ranking for tasks without a history is kept in a heap, in which only the worker that takes a
+    task is ranked again. Ranking all 72 workers of a cell for each task accounted for most of the
+    processor time of a start.
     """
 
     __slots__ = ("_heap", "_reserve", "_scheduler", "_step", "_workers")
@@ -38,7 +40,7 @@
         self._heap = None
 
     def choose(self, task):
-        """Return the worker that a task should be started on, or None."""
+        """Return the worker on which to start a task, or None when no worker can take it."""
         if not _has_no_history(task):
             return self._choose_among_all(task)
         if self._heap is None:
@@ -48,11 +50,11 @@
         if not self._heap:
             return None
         worker = self._workers[self._heap[0][1]]
-        # A former run of the task may still be ending there.
+        # An earlier run of the task may still be ending on that worker.
         return worker if task.name not in worker.runs else self._choose_among_all(task)
 
     def update(self, worker):
-        """Rank a worker anew that has taken a task."""
+        """Rank a worker again after it has taken a task."""
         if not self._heap or self._workers[self._heap[0][1]] is not worker:
             self._heap = None
             return
@@ -66,7 +68,10 @@
         return _choose(self._scheduler, self._step, task, self._workers, self._reserve)
 
     def _heap_entry(self, number):
-        """Return the rank of a worker, the first of equal ones first, or None if none fits."""
+        """Return a worker's cost and number, or None when the worker cannot take a task.
+
+        Among workers of equal cost, the number ranks the first one first.
+        """
         worker = self._workers[number]
         if not _can_take(self._scheduler, self._step, _NO_HISTORY, worker, self._reserve):
             return None
@@ -74,13 +79,13 @@
 
 
 def _leaves_reserve(worker, spec, reserve):
-    """Whether the reserve stays free on a worker, or nothing else is there that could use it."""
+    """Whether a task leaves the reserve free on a worker, or the worker has no other runs."""
     left = worker.cpu_free - spec.cpu_milli
     return left >= reserve * worker.info.cpu_milli or not worker.runs
 
 
 def _choose(scheduler, step, task, workers, reserve):
-    """Return the fitting worker that the task leaves least room on, away from what it disturbs."""
+    """Return the worker of least cost for a task, or None when no worker can take the task."""
     fitting = [
         worker
         for worker in workers
@@ -92,7 +97,7 @@
 
 
 def _can_take(scheduler, step, task, worker, reserve):
-    """Whether a task has room on a worker that nobody else comes before it for."""
+    """Whether a task fits on a worker and no reservation, limit or suspect forbids it."""
     spec = step.spec
     return (
         worker.fits(spec)
@@ -106,6 +111,7 @@
 
 
 def _cost(scheduler, step, task, worker):
+    """Return a worker's cost for a task, as a sort key; at equal cost, the fullest worker wins."""
     spec = step.spec
     is_remote = bool(spec.data_rack) and worker.info.rack != spec.data_rack
     failed_here = worker.info.worker_id in task.avoid
@@ -123,7 +129,7 @@
 
 
 def _work_at_risk(task, worker):
-    """Return the cost of losing a worker to a suspect task, as a sort key; empty for others."""
+    """Return the cost of losing a worker to a suspect task, as a sort key; () for other tasks."""
     history = task.crash_history
     if history is None or not history.is_suspect:
         return ()
@@ -137,7 +143,10 @@
 
 
 def _n_interfering_runs(spec, worker):
-    """Count the runs on a worker that a task of `spec` would disturb, or that would disturb it."""
+    """Return the number of runs on a worker that would interfere with a task of `spec`.
+
+    Background tasks interfere with tasks that have a target for response times.
+    """
     if spec.fills:
         return sum(run.step.target_s > 0 for run in worker.runs.values())
     if spec.target_s:
--- a/anvilflow/jobs/_record.py
+++ b/anvilflow/jobs/_record.py
@@ -1,4 +1,4 @@
-"""What is durable of a job's progress: enough for another instance to go on with it."""
+"""Durable progress of a job, from which another instance can continue it."""
 
 from msgspec import Struct
 
@@ -11,15 +11,17 @@
     Parameters
     ----------
     begun : bool
-        Whether any task was ever seen running.
+        Whether any task of the job has ever been reported as running.
     done_steps : list of str
         ``OCCURRENCE.STEP`` of each step that is done.
     done_tasks : dict of str to list of int
         Done tasks of each step that is partly done.
     failures : dict of str to list of int
-        By ``OCCURRENCE.STEP.INDEX``: the runs whose ends count as attempts. An end that is listed
-        again after a take-over, or later than that of a newer run, is known by its run.
+        By ``OCCURRENCE.STEP.INDEX``: the runs that failed, each of which counts as one attempt. The
+        run number identifies a failure that is reported again after a take-over, or after that of
+        a newer run, so that each failure counts exactly once.
     checkpoints : dict of str to str
+        By task as above: the checkpoint from which the next run resumes.
     lost_runs : dict of str to list of LostRun
         By task as above: the runs whose workers were lost, and the latest recorded start.
     """
@@ -33,7 +35,7 @@
 
 
 class EndedJob(Struct, kw_only=True):
-    """What stays of a job that has ended: its final state, and when it did. Unit: seconds."""
+    """Row of a job that has ended: its final state and the time of its end. Unit: seconds."""
 
     state: str
     ended_at: float = 0.0
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -1,4 +1,7 @@
-"""What happens to jobs; what follows for their tasks is planned in `_placement`."""
+"""The scheduler of a cell: its jobs, their durable progress, and the plans for their tasks.
+
+Tasks are assigned to workers in `_placement`.
+"""
 
 from collections import Counter
 
@@ -10,39 +13,43 @@
 from ._run_tracker import RunTracker
 from ._stalled_runs import GIVEN_UP_SLOWNESS, find_stalled_runs, has_copy
 
-#: Least time between two looks at all jobs and runs for what falls due by time alone: occurrences,
-#: leases, leaving workers, sick runs. A plan follows each event, hundreds a second on 176 workers,
-#: and a look goes through 14,000 runs at the target. Unit: seconds.
+#: Minimum time between two checks of all jobs and runs for what becomes due by time alone:
+#: occurrences, lapsed leases, leaving workers, stalled and slow runs. A plan is made after each
+#: event, hundreds a second with 176 workers, and a check covers 14,000 runs at the intended cell
+#: size. Unit: seconds.
 PERIODIC_CHECK_INTERVAL_S = 0.1
 
 
 class Scheduler(RunTracker):
-    """The jobs and workers of a cell, as the leader sees them.
+    """Scheduling state and decisions of a cell, held by its leader.
 
-    Inputs are methods that take what happened and the time; outputs are lists of actions. Nothing
-    here reads a clock or a socket.
+    Each method takes an event and its time, and returns a list of actions for the leader to carry
+    out. The scheduler itself reads no clock and no socket.
 
     Parameters
     ----------
     term : int
-        How many leaders there were, this one included.
+        Number of leaders so far, including this one.
     lease_s, stop_s : float
-        Length of the leases that are sent, and the longest time that a stop takes. Unit: seconds.
+        Duration of the leases sent to workers, and the longest time that a stop takes. Unit:
+        seconds.
     now : float
-        When this leader took over. Unit: seconds.
+        Steady time at which this leader took over. Unit: seconds.
     n_advice_callers : int, default=1
-        Advice calls that may be under way at once.
+        Number of instances that can make advice requests.
     grace_period : GracePeriod, default=None
-        What is left of earlier leaders; None: what only the term tells.
+        Tracks when the commands and leases of earlier leaders have expired. None: derived from the
+        term alone.
     policy : SchedulingPolicy, default=None
-        What it prefers; None: the defaults.
+        Scheduling policy; None: the defaults.
 
     Notes
     -----
-    Starts are not recorded. A new leader learns from each worker what runs there before it starts
-    anything on it, and the worker refuses the former leader from then on. What no worker lists may
-    still run on one that has not answered yet: a task that an earlier leader may have started waits
-    until all have answered, or until the grace period is over, see `_grace_period`.
+    Starts are not written to the store. A new leader first obtains from each worker the list of its
+    runs, and the worker refuses commands of the former leader from then on. A run that no worker
+    has listed may still be active on a worker that has not responded yet. Therefore, a task that an
+    earlier leader may have started waits until all workers have responded, or until the grace
+    period is over, see `_grace_period`.
     """
 
     def __init__(
@@ -62,7 +69,7 @@
     # Configuration and jobs
 
     def configure(self, config):
-        """Take a newer configuration."""
+        """Apply a configuration if it is newer than the current one."""
         if self.config is not None and config.version <= self.config.version:
             return
         self.config = config
@@ -71,7 +78,7 @@
             job.wake()
 
     def add_job(self, spec, queue, *, version, now, wall_now, record=None, config_version=0):
-        """Take on an accepted job; return False when it is known already."""
+        """Add an accepted job; return False if the job is already present."""
         if self.has_job(spec.job_id):
             return False
         self.jobs[spec.job_id] = JobRun(
@@ -83,34 +90,35 @@
             record=record,
             inherited=self.grace_period.may_have_begun(version),
         )
-        # Nothing of the job runs here yet, so that its ends cannot have anything stopped.
+        # The job has no runs here yet, so that the ends reported early cannot cause any stops.
         self._take_up(self.jobs[spec.job_id], now)
         self.restore_suspects(self.jobs[spec.job_id])
         return True
 
     def _newer_queue(self, queue, config_version):
-        """Return a job's queue by the newer of two configurations: this leader's and its entry's.
+        """Return the job's queue by the newer configuration: the leader's or the gateway's.
 
-        An operator moved a queue to another service. A leader that had not heard of it yet sent
-        jobs that came after the change, by an entry that had, to workers of the former one.
+        When an operator moves a queue to another service, a gateway may receive the change before
+        the leader. The leader's older configuration would send jobs accepted by that gateway to
+        workers of the former service.
         """
         if self.config is None or self.config.version < config_version:
             return queue
         return self.config.queue_named(queue.name) or queue
 
     def jobs_read(self, requested_at):
-        """Note that all jobs are known which were accepted before `requested_at`. Unit: seconds."""
+        """Note that all jobs accepted before `requested_at` have been read. Unit: seconds."""
         self._jobs_known_at = requested_at
 
     def cancel_job(self, job_id, now):
-        """Cancel a job; return the stops of its runs."""
+        """Cancel a job; return the actions that stop its runs."""
         job = self.jobs.get(job_id)
         if job is None or job.is_ended:
             return []
         return self._finish(job, JobState.CANCELLED, now)
 
     def drop_job(self, job_id, state, now):
-        """Drop a job whose end somebody else made durable; return the stops of its runs."""
+        """Drop a job whose end another instance made durable; return the stops of its runs."""
         job = self.jobs.pop(job_id, None)
         self._note_end(job_id, state)
         if job is None:
@@ -119,8 +127,8 @@
 
     def _finish(self, job, state, now):
         job.finish(state, now)
-        # Of a completed job only copies still run, which `_task_done` has stopped, and members of a
-        # gang whose own ends are on their way.
+        # A completed job has no other runs than copies, which `_task_done` has stopped already, and
+        # gang members whose ends are not reported yet.
         return [] if state is JobState.COMPLETED else self._stop_all(job, now, str(state))
 
     def _stop_all(self, job, now, why):
@@ -136,11 +144,11 @@
         self.ended[job_id] = state
 
     def drop_ended_job(self, job_id):
-        """Forget an ended job whose rows are gone, so that it cannot be read again."""
+        """Drop an ended job whose rows are deleted, so that the job cannot be read again."""
         self.ended.pop(job_id, None)
 
     def state_of(self, job_id):
-        """Return the job's state as far as it is durable, or None when it is not known here."""
+        """Return the job's durable state, or None for an unknown job."""
         job = self.jobs.get(job_id)
         if job is None:
             return self.ended.get(job_id)
@@ -149,7 +157,7 @@
         return job.state
 
     def n_waiting(self):
-        """Count the jobs of which nothing has begun, by the name of their queue."""
+        """Return the number of jobs of which no task has begun, by the name of the queue."""
         return Counter(
             job.queue.name for job in self.jobs.values() if not job.begun and not job.is_ended
         )
@@ -157,12 +165,12 @@
     # Records
 
     def dirty_jobs(self):
-        """Return the jobs whose progress is not durable yet, the oldest change first."""
+        """Return the jobs with progress that is not durable yet, the oldest change first."""
         dirty = [job for job in self.jobs.values() if job.change > job.recorded_change]
         return sorted(dirty, key=lambda job: job.changed_at)
 
     def recorded(self, job_id, change, now):
-        """Note that a job's progress is durable up to `change`; return whether its end is."""
+        """Note that a job's progress is durable up to `change`; return whether its end is, too."""
         job = self.jobs.get(job_id)
         if job is None:
             return False
@@ -175,18 +183,21 @@
         return True
 
     def acknowledged(self, worker):
-        """Return the number up to which the worker may forget ends, all of them durable."""
+        """Return the number of the last end that the worker may drop.
+
+        All ends up to that number are durable, or their jobs no longer exist.
+        """
         queue = worker.ack_queue
         while queue and self._may_be_acknowledged(queue[0]):
             queue.pop(0)
         return queue[0].end.number - 1 if queue else worker.last_ended
 
     def _may_be_acknowledged(self, pending):
-        """Whether an end is durable, or of a job that certainly does not exist any more.
+        """Whether an end is durable, or belongs to a job that certainly does not exist any more.
 
-        A job may have been accepted while leaders changed, and its task be done before this leader
-        hears of it. Its row was written before the task began, so that a reading of the jobs that
-        was begun after the end was told shows it.
+        A job may have been accepted during a change of leaders, and one of its tasks may end before
+        this leader has read the job. The job's row was written before the task began. Therefore, a
+        read of all jobs that began after the end was reported includes the job.
         """
         job = self.jobs.get(pending.job_id)
         if job is None:
@@ -201,14 +212,14 @@
     # Plans
 
     def plan(self, now, wall_now, *, n_wanted=None):
-        """Return the starts, stops and asks that are due now.
+        """Return the starts, stops and advice requests that are due now.
 
         Parameters
         ----------
         now, wall_now : float
             Steady time and time of day. Unit: seconds.
         n_wanted : int, default=None
-            Starts after which no more are decided; None: no limit.
+            Number of starts after which the plan leaves further tasks waiting; None: no limit.
         """
         actions = []
         self.wall_offset_s = wall_now - now
@@ -219,7 +230,7 @@
         return actions + self.hold_unrecorded_starts(plan_starts(self, now, n_wanted), now)
 
     def _run_periodic_checks(self, now, wall_now):
-        """See what falls due by time alone, on any worker and for any job."""
+        """Return the actions that become due by time alone, for all jobs and workers."""
         actions = []
         for job in self.jobs.values():
             is_timed = job.spec.n_occurrences and not job.is_ended
@@ -236,9 +247,9 @@
         return actions
 
     def _stop_stalled_runs(self, now):
-        """Stop runs that stand still or crawl, and keep new work off their workers for a while.
+        """Return the stops of stalled and slow runs; keep new work off their workers for a while.
 
-        What may have copies keeps the first run: the plan starts a second beside it.
+        Where the step allows copies, the run goes on, and the next plan starts a copy beside it.
         """
         actions = []
         stalled = find_stalled_runs(self, now) if self.policy.judges_runs else []
@@ -263,16 +274,19 @@
         return actions
 
     def note_starts_deferred(self, now):
-        """Note that a plan left tasks waiting since no more starts are wanted now."""
+        """Note that a plan left tasks waiting because of its limit on the number of starts."""
         if self.starts_deferred_since is None:
             self.starts_deferred_since = now
 
     def starts_deferred_s(self, now):
-        """Return for how long each plan has left tasks waiting so. Unit: seconds."""
+        """Return for how long plans have deferred starts; 0 if the last did not. Unit: seconds."""
         return 0.0 if self.starts_deferred_since is None else now - self.starts_deferred_since
 
     def n_tasks_ahead(self):
-        """Count the tasks that could start and come before those of a new job, by priority."""
+        """Return the number of tasks that would start before those of a new job, by its priority.
+
+        These are the waiting tasks of this and all more urgent priorities.
+        """
         counts = Counter()
         for job in self.jobs.values():
             if job.is_idle or job.is_ended:
@@ -287,20 +301,21 @@
         return counts
 
     def preempt(self, run, now):
-        """Stop a run for a more urgent task; it resumes from its checkpoint."""
+        """Stop a run for a more urgent task; the run's task later resumes from its checkpoint."""
         return self._stop(run, now, "preempted")
 
     def reserve_share(self, step):
-        """Return the share of a worker that a step's tasks leave free for more urgent ones."""
+        """Return the share of a worker's processor that a step must leave to more urgent tasks."""
         if self.config is None or step.spec.fills:
             return 0.0
         queue = step.job.queue
         return self.policy.reserve_share if self.config.has_more_urgent(queue) else 0.0
 
     def may_start(self, job, now):
-        """Whether no earlier leader can have a run of the job that nobody has listed yet.
+        """Whether tasks of the job may be started now.
 
-        Nor may one whose tasks could not be started for want of their payload.
+        Returns False while an earlier leader may have started a run of the job that no worker has
+        listed yet, and while starts are delayed because the payload is missing from the store.
         """
         if now < job.starts_delayed_until:
             return False
--- a/anvilflow/jobs/_spec.py
+++ b/anvilflow/jobs/_spec.py
@@ -1,4 +1,4 @@
-"""What clients submit and operators configure: jobs, their steps, queues and services."""
+"""Specifications of jobs and steps, and the configuration of queues and limits."""
 
 from functools import cached_property
 
@@ -6,36 +6,42 @@
 
 
 class StepSpec(Struct, kw_only=True, frozen=True, omit_defaults=True):
-    """One step of a job: tasks that are alike.
+    """One step of a job: a number of identical tasks.
 
     Parameters
     ----------
     n_tasks : int
     cpu_milli, memory_mb, accelerators : int
-        What one task takes. Units: thousandths of a core, megabytes, pieces.
+        Resources of one task. Units: thousandths of a core, megabytes, devices.
     estimate_s : float
-        Rough length of one task. Unit: seconds.
+        Estimated duration of one task; 0: unknown. Unit: seconds.
     after : tuple of int
-        Earlier steps whose tasks must all be done first.
+        Numbers of the earlier steps whose tasks must all be done first.
     gang : bool
-        The tasks work only together.
+        Whether the tasks can only work together, so that all of them must run at the same time.
     rack_sensitive : bool
-        The tasks are slow when they run on more than one rack.
+        Whether the tasks are slow when they are spread over several racks.
     label : str
-        Label that the worker must have; empty: any.
+        Label that a worker must have to run the tasks; empty: any worker.
     data_rack : str
-        Rack on which the data lies; empty: anywhere.
+        Rack that holds the input data; empty: no preference.
     max_per_worker : int
-        Tasks of the step on one worker at the most; 0: no limit.
-    speculative, long_running, fills, checkpointing : bool
-        Copies may run in parallel; the tasks run until the job is cancelled; the tasks use only
-        the processor time that others leave; the tasks can resume from a checkpoint.
+        Maximum number of tasks of the step on one worker; 0: no limit.
+    speculative : bool
+        Whether two runs of a task may be active at once, of which the first to finish counts.
+    long_running : bool
+        Whether the tasks run until the job is cancelled.
+    fills : bool
+        Whether these are background tasks, which use only the processor time that others leave.
+    checkpointing : bool
+        Whether the tasks can resume from a checkpoint.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Name of the program that the tasks run; tasks of one image are expected to behave alike.
     target_s : float
-        Bound on the response times that long-running tasks give their own users; 0: none.
+        Target for the response times of long-running tasks to their own users; 0: none. Unit:
+        seconds.
     max_unavailable : int
-        Long-running tasks that the scheduler may take away at once.
+        Number of long-running tasks that the scheduler may stop at the same time.
     """
 
     n_tasks: int
@@ -59,18 +65,18 @@
 
 
 class JobSpec(Struct, kw_only=True, frozen=True, omit_defaults=True):
-    """A job as it was accepted.
+    """Specification of a job, as it was accepted.
 
     Parameters
     ----------
     job_id, queue : str
     payload : str
-        Opaque text that goes to each task; left out where a row of its own holds it.
+        Opaque text that is passed to each task; UNSET where it is stored in a row of its own.
     steps : tuple of StepSpec
     first_at, interval_s : float
-        Time of day of the first occurrence and distance of the others. Unit: seconds.
+        Time of day of the first occurrence, and the interval between occurrences. Unit: seconds.
     n_occurrences : int
-        0: the job runs once, at once.
+        Number of occurrences; 0: the job runs once, immediately.
     """
 
     job_id: str
@@ -83,7 +89,16 @@
 
 
 class AdviceRules(Struct, kw_only=True, frozen=True):
-    """How long the service that knows a queue's allowed workers takes, and its answer holds."""
+    """Timing of the advice service, which decides on which workers a queue's steps may run.
+
+    Parameters
+    ----------
+    base_s, per_worker_s : float
+        Expected duration of a request: `base_s` plus `per_worker_s` for each worker named in it.
+        Unit: seconds.
+    valid_s : float
+        Time for which an answer remains valid. Unit: seconds.
+    """
 
     base_s: float
     per_worker_s: float
@@ -91,24 +106,25 @@
 
 
 class Queue(Struct, kw_only=True, frozen=True, omit_defaults=True):
-    """A queue of jobs, as configured.
+    """Configuration of a queue of jobs.
 
     Parameters
     ----------
     name, host, prefix : str
         Calls for `host` whose path begins with `prefix` belong to the queue.
     service : str
-        Whose workers run its tasks.
+        Service whose workers run the queue's tasks.
     priority : int
-        0 comes first and may preempt others.
+        0 is the most urgent. More urgent tasks may preempt less urgent ones.
     max_attempts : int
-        Failures of one task after which the job has failed.
+        Number of failures of one task at which the job fails.
     stretch, target_latency_s : float
-        Objective for a job: `stretch` times its longest chain of work and `target_latency_s` more.
+        Target for the completion time of a job: `stretch` times its longest chain of estimated
+        work, plus `target_latency_s`.
     timeout_s : float
-        Of one call.
+        Timeout of one call of a client. Unit: seconds.
     advice : AdviceRules or None
-        Set when only some workers may run a step.
+        Set where the advice service must allow a worker before a step may run on it.
     """
 
     name: str
@@ -124,7 +140,7 @@
 
 
 class Limits(Struct, kw_only=True, frozen=True):
-    """Bounds on what a client may send."""
+    """Limits on the requests of clients. Units: bytes, seconds."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
@@ -137,8 +153,8 @@
 
     Notes
     -----
-    Its indexes are made once. An operator's 4,200 queues were gone through by each call of a client
-    and each plan of an urgent step: 0.97 and 0.48 ms, now 1 us each.
+    The indexes are built once per version. With 4,200 queues, a linear search took 0.97 ms in each
+    call of a client and 0.48 ms in each plan of an urgent step; an indexed lookup takes 1 us.
     """
 
     version: int
@@ -190,5 +206,5 @@
         return self._by_name.get(name)
 
     def has_more_urgent(self, queue):
-        """Whether another queue of the same service comes before `queue`."""
+        """Whether another queue of the same service is more urgent than `queue`."""
         return self._most_urgent.get(queue.service, queue.priority) < queue.priority
--- a/anvilflow/jobs/tests/test_capacity.py
+++ b/anvilflow/jobs/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Changes of a worker's capacity at run time."""
+"""Scheduling when the capacity of a worker changes at run time."""
 
 from msgspec import structs
 
@@ -28,7 +28,7 @@
 
 
 def test_tasks_wait_until_reduced_memory_is_restored():
-    """Guards against updating only the free CPU."""
+    """Guards against a change of capacity that updates only the free CPU."""
     scheduler = make_scheduler(1)
     _set_capacity(scheduler, memory_mb=50)
     assert add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, memory_mb=100)) == []
--- a/anvilflow/jobs/tests/test_load.py
+++ b/anvilflow/jobs/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Loads played in virtual time on the scheduler alone: what callers get."""
+"""Simulated loads on the scheduler alone, in virtual time, judged by what callers get."""
 
 from statistics import mean, median
 
@@ -13,14 +13,14 @@
 
 N_SEEDS = 8
 
-#: Jobs in times of the usual load: the workers are full for most of the time.
-TIMES = 1.3
+#: Factor on the usual load at which the workers are full for most of the time.
+LOAD_FACTOR = 1.3
 
 
-def play(policy, random_state):
-    """Return the results by queue of 40 s of jobs."""
+def simulate(policy, random_state):
+    """Return the results by queue for jobs that arrive during 40 s."""
     load = LoadPlay(
-        kinds=make_accelerator_kinds(TIMES),
+        kinds=make_accelerator_kinds(LOAD_FACTOR),
         workers=make_accelerator_workers(),
         policy=policy,
         random_state=random_state,
@@ -28,27 +28,30 @@
     return load.play(75.0)
 
 
-def shares(policy):
-    """Return the mean shares of the worth of large and of small jobs that their callers got."""
-    results = [play(policy, seed) for seed in range(N_SEEDS)]
+def mean_shares(policy):
+    """Return the mean shares that callers got of the value of large and of small jobs."""
+    results = [simulate(policy, seed) for seed in range(N_SEEDS)]
     return tuple(mean(result[name].share for result in results) for name in ("large", "small"))
 
 
-def test_small_tasks_use_what_large_ones_wait_for():
-    """Large tasks wait for whole workers, which are kept free for them for seconds.
+def test_small_tasks_use_workers_reserved_for_large_ones():
+    """Guards against idle accelerators on workers that are reserved for large tasks for seconds.
 
-    Kept from all else meanwhile, accelerators stood idle that small tasks could have used: those
-    that leave the room, or end before it is there. Callers of small jobs got 0.897 of their worth,
-    and get 0.960; those of large ones 0.789 and 0.786, no difference by the spread over the seeds.
+    Small tasks may use such workers if they leave the reserved capacity free or end before it is
+    available. Callers of small jobs get 0.960 of their value with such backfilling and 0.897
+    without; callers of large jobs 0.786 and 0.789, no difference given the spread over the seeds.
     """
-    large, small = shares(SchedulingPolicy())
-    large_before, small_before = shares(SchedulingPolicy(backfills=False))
+    large, small = mean_shares(SchedulingPolicy())
+    large_before, small_before = mean_shares(SchedulingPolicy(backfills=False))
     assert small > small_before + 0.03
     assert large > large_before - 0.01
 
 
-def play_wide(policy, random_state):
-    """Return the results by queue of 12 s of jobs on 270 workers, with 97 instances that ask."""
+def simulate_wide_cell(policy, random_state):
+    """Return the results by queue for jobs that arrive during 12 s on 270 workers.
+
+    97 instances can make advice requests.
+    """
     load = LoadPlay(
         kinds=make_wide_kinds(1.0),
         workers=make_wide_workers(),
@@ -60,16 +63,17 @@
     return load.play(30.0)
 
 
-def test_steps_of_a_large_cell_ask_about_as_many_workers_as_they_need():
-    """Each step asked about the first hundred of 270 workers, whatever it needed and they had left.
+def test_advice_requests_in_a_large_cell_name_as_many_workers_as_needed():
+    """Guards against requests that name the first hundred of 270 workers, whatever is needed.
 
-    The answer for quick work took 88 ms in place of 45, that for orders 1.33 s, and where those
-    hundred were full a second ask followed. Half of the quick jobs began within 91 ms, of the
-    orders within 1.33 s; within 44 ms and 0.71 s since, as played here with two seeds.
+    Such a request took 88 ms instead of 45 for jobs of the queue "quick" and 1.33 s for those of
+    the queue "order", and a second one followed when the hundred workers were full. In this
+    simulation with two seeds, the median wait was 91 ms for "quick" and 1.33 s for "order"; with
+    requests by need, it is 44 ms and 0.71 s.
     """
     for random_state in range(2):
-        before = play_wide(SchedulingPolicy(asks_by_need=False), random_state)
-        now = play_wide(SchedulingPolicy(), random_state)
+        before = simulate_wide_cell(SchedulingPolicy(asks_by_need=False), random_state)
+        now = simulate_wide_cell(SchedulingPolicy(), random_state)
         assert median(now["quick"].waits_s) < 0.07 < median(before["quick"].waits_s)
         assert median(now["order"].waits_s) < 0.7 * median(before["order"].waits_s)
         assert now["quick"].share >= before["quick"].share
--- a/anvilflow/jobs/tests/test_plans.py
+++ b/anvilflow/jobs/tests/test_plans.py
@@ -1,4 +1,4 @@
-"""What a plan between two whole ones looks at, and that nothing waits for the next whole one."""
+"""Plans between two full plans: they cover little, and no due start waits for a full plan."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 from .test_reservations import FIRST, LAST, make_cell, submit
 from .test_scheduler import QUEUE, confirm_started, make_report, make_run_report, make_scheduler
 
-#: A worker of ten cores holds one of these.
+#: A worker of ten cores has capacity for one task of this step.
 LARGE = StepSpec(n_tasks=1, cpu_milli=6_000, estimate_s=5.0)
 
 
 def fill_workers(scheduler, n_waiting):
-    """Fill each worker with one task, and let as many jobs wait; return the starts."""
+    """Occupy each worker with one task and submit `n_waiting` jobs more; return the starts."""
     starts = []
     for number in range(len(scheduler.workers) + n_waiting):
         starts += submit(scheduler, f"{number:016x}", FIRST, LARGE, 0.0)
@@ -22,41 +22,44 @@
 
 
 def report_end(scheduler, start, now):
-    """Let the worker of a run tell that the run is done."""
+    """Report a run as done on behalf of its worker."""
     end = RunEnd(number=1, task=start.task, run_id=start.run_id, how="done", checkpoint="")
     report = make_report([], [end], clock_s=now)
     scheduler.report(start.worker_id, report, requested_at=now, now=now)
 
 
 def plan_starts(scheduler, now):
-    """Return the starts of a plan."""
+    """Plan; return the starts."""
     return [action for action in scheduler.plan(now, now) if isinstance(action, StartRun)]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_event_does_not_look_at_every_waiting_step_with_every_worker(monkeypatch, safeguard):
-    """Thirty jobs wait on thirty full workers; jobs come, each with a plan behind it.
-
-    Each plan went through all waiting steps and for each of them through all workers. At 270
-    workers and 441 plans a second that was most of what the deciding instance did, and on one with
-    an eighth of a core it was late with its heartbeats, was taken for dead, and so was the next.
+def test_plan_after_an_event_does_not_match_all_waiting_steps_with_all_workers(
+    monkeypatch, safeguard
+):
+    """Guards against a leader that is too busy with plans to send its heartbeats in time.
+
+    A full plan after every event took most of the leader's processor time at 270 workers and 441
+    plans a second. On an instance with an eighth of a core its heartbeats were late, it was
+    replaced, and the same happened to its successor. Here, jobs arrive while thirty others wait for
+    thirty full workers.
     """
     if not safeguard:
         monkeypatch.setattr(_placement, "FULL_PLAN_INTERVAL_S", 0.0)
     scheduler = make_cell(30)
     fill_workers(scheduler, 30)
-    looked = []
+    checked = []
     original = _placement._is_eligible
     monkeypatch.setattr(
-        _placement, "_is_eligible", lambda *args: looked.append(args) or original(*args)
+        _placement, "_is_eligible", lambda *args: checked.append(args) or original(*args)
     )
     for number in range(10):
         submit(scheduler, f"{900 + number:016x}", LAST, LARGE, 0.01)
-    assert (len(looked) <= 10 * 30) is safeguard
+    assert (len(checked) <= 10 * 30) is safeguard
 
 
-def test_room_that_comes_is_used_by_the_next_plan():
-    """A task ends a moment after a whole plan: the job that waits does not wait for the next."""
+def test_freed_capacity_is_used_by_the_next_plan():
+    """Guards against a job that waits for the next full plan, after a task ended between two."""
     scheduler = make_cell(3)
     starts = fill_workers(scheduler, 1)
     assert scheduler.plan(0.0, 0.0) == []
@@ -65,8 +68,8 @@
     assert started.worker_id == starts[0].worker_id
 
 
-def test_room_that_comes_goes_to_the_most_urgent_job():
-    """An urgent job comes after others that wait: the next room is its own."""
+def test_freed_capacity_goes_to_the_most_urgent_job():
+    """Guards against serving waiting jobs in the order of arrival: the urgent job arrives last."""
     scheduler = make_cell(2)
     starts = fill_workers(scheduler, 0)
     submit(scheduler, "00000000000000c1", LAST, LARGE, 0.0)
@@ -76,10 +79,10 @@
     assert started.task.startswith("00000000000000c2")
 
 
-def test_worker_that_is_kept_stays_kept_between_whole_plans():
-    """A worker is kept for a large urgent task; a small one that comes then must not take it.
+def test_reservation_of_a_worker_holds_between_full_plans():
+    """Guards against a small task that takes a worker reserved for a large urgent one.
 
-    The small task would run for long, and the large one would find its room gone once more.
+    The small task would run for a long time, and the large one would have to wait again.
     """
     scheduler = make_cell(1)
     small = StepSpec(n_tasks=2, cpu_milli=4_500, estimate_s=60.0)
@@ -94,8 +97,8 @@
     assert submit(scheduler, "00000000000000d3", LAST, small, 0.02) == []
 
 
-def test_worker_that_answers_again_is_used_by_the_next_plan():
-    """A worker falls silent and answers between two whole plans: what waits for it starts."""
+def test_worker_that_becomes_reachable_is_used_by_the_next_plan():
+    """Guards against a job that waits for the next full plan, after its worker responded again."""
     scheduler = make_cell(1)
     scheduler.worker_unreachable("w0", 0.0)
     assert submit(scheduler, "00000000000000e1", FIRST, LARGE, 0.0) == []
@@ -103,8 +106,8 @@
     assert len(plan_starts(scheduler, 0.01)) == 1
 
 
-def test_occurrence_that_falls_due_is_planned_with_the_look_that_finds_it():
-    """A job with times begins within one look of its due time."""
+def test_due_occurrence_is_planned_by_the_periodic_check_that_finds_it():
+    """An occurrence of a timed job begins within one period of the checks after its due time."""
     scheduler = make_cell(1)
     step = StepSpec(n_tasks=1, cpu_milli=1_000)
     spec = JobSpec(
@@ -126,8 +129,8 @@
     return [action for action in actions if isinstance(action, StartRun)]
 
 
-def test_no_more_starts_are_decided_than_are_wanted():
-    """A start that is decided long before it can be sent takes room that others could use."""
+def test_plan_decides_no_more_starts_than_wanted():
+    """Guards against starts decided long before they can be sent: they occupy free capacity."""
     scheduler = make_scheduler(4)
     for number in range(3):
         step = StepSpec(n_tasks=1, cpu_milli=100)
@@ -140,8 +143,8 @@
     assert scheduler.starts_deferred_s(1.6) == 0.0
 
 
-def test_task_that_is_to_last_does_not_wait_behind_urgent_jobs_for_long():
-    """Its users had nobody for as long as a burst of more urgent jobs went on."""
+def test_long_running_task_waits_behind_urgent_jobs_only_for_a_limited_time():
+    """Guards against users without service for as long as a burst of more urgent jobs lasts."""
     scheduler = make_scheduler(1)
     lasting = StepSpec(n_tasks=1, cpu_milli=1_000, long_running=True)
     usual = Queue(name="u", host="h", prefix="/u/", service="s", priority=1)
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Decisions about sick workers, shares of speed and copies, without any network."""
+"""Decisions of the scheduler on stalled runs, pacing, copies, leaving workers and ended jobs."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def make_worker_info(number, **values):
-    """Return a worker of ten cores."""
+    """Return the registration of a worker with ten cores."""
     kept = {
         "worker_id": f"w{number}",
         "address": f"w{number}:1",
@@ -41,7 +41,7 @@
 
 
 def make_scheduler(n_workers=2, **values):
-    """Return a scheduler whose workers have all answered."""
+    """Return a scheduler whose workers have all reported."""
     scheduler = Scheduler(term=1, lease_s=3.0, now=0.0)
     scheduler.configure(CellConfig(version=1, queues=(QUEUE,)))
     for number in range(n_workers):
@@ -56,27 +56,27 @@
 
 
 def add_job(scheduler, *steps, now=0.0, job_id="00000000000000a1"):
-    """Submit a job; return the starts that follow."""
+    """Add a job and plan; return the starts."""
     spec = JobSpec(job_id=job_id, queue="q", payload="", steps=steps)
     scheduler.add_job(spec, QUEUE, version=1, now=now, wall_now=now)
     return [action for action in scheduler.plan(now, now) if isinstance(action, StartRun)]
 
 
 def confirm_started(scheduler, starts, now):
-    """Let workers say that they have started."""
+    """Confirm starts on behalf of their workers."""
     for start in starts:
         scheduler.start_answered(start.worker_id, start.task, start.run_id, "started", now)
 
 
 def make_run_report(start, percent, load=0.0):
-    """Return the report of a run in progress."""
+    """Return the report of a run in progress, at `percent` of its work."""
     return RunReport(
         task=start.task, run_id=start.run_id, checkpoint="", percent=percent, load=load
     )
 
 
 def report_progress(scheduler, start, percents, *, period=0.5, load=0.0):
-    """Report a run's progress at a fixed period; return all that is decided meanwhile."""
+    """Report a run's progress at a fixed period, planning after each report; return all actions."""
     actions = []
     for number, percent in enumerate(percents, start=1):
         now = number * period
@@ -86,8 +86,8 @@
     return actions
 
 
-def test_run_that_stands_still_is_stopped_and_its_worker_rests():
-    """A worker with good health hangs: the run's progress stays at 30 percent."""
+def test_stalled_run_is_stopped_and_counts_against_its_worker():
+    """Guards against a worker that hangs but reports good health: progress stays at 30 percent."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     confirm_started(scheduler, [start], 0.0)
@@ -96,18 +96,19 @@
     assert scheduler.workers[start.worker_id].n_bad >= 1
 
 
-def test_run_that_makes_progress_is_left_alone():
-    """The run takes twice its estimate, as sound ones may."""
+def test_run_that_takes_twice_its_estimate_is_not_stopped():
+    """Guards against stopping healthy runs, which may take twice their estimated duration."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     confirm_started(scheduler, [start], 0.0)
     assert report_progress(scheduler, start, [25, 50, 75, 99]) == []
 
 
-def test_run_on_a_slow_worker_is_made_again_elsewhere():
-    """After three times its estimate a run is at a tenth: stopping it is the shorter way.
+def test_run_on_a_slow_worker_is_stopped():
+    """Guards against leaving a run on a slow worker when a new run would end earlier.
 
-    A run of the same step has long ended, so that it is the worker which is slow.
+    After three times its estimate the run has done a tenth of its work. Another run of the step has
+    long ended, which shows that the worker is slow rather than the step.
     """
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=2, cpu_milli=1000, estimate_s=1.0, max_per_worker=1)
@@ -119,8 +120,8 @@
     assert [action.why for action in actions if isinstance(action, StopRun)] == ["slow"]
 
 
-def test_job_far_larger_than_its_estimate_is_left_alone():
-    """All its runs crawl, on every worker: to start them again would waste what is done."""
+def test_runs_of_a_job_far_larger_than_its_estimate_are_not_stopped():
+    """Guards against discarding work of runs that are slow on every worker."""
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=2, cpu_milli=1000, estimate_s=1.0, max_per_worker=1)
     starts = add_job(scheduler, step)
@@ -133,8 +134,8 @@
         assert scheduler.plan(now, now) == []
 
 
-def test_step_that_allows_copies_gets_one_beside_the_run_that_stands_still():
-    """The first copy to finish counts; the other is stopped."""
+def test_speculative_step_gets_a_copy_beside_a_stalled_run():
+    """The run that finishes first counts, and the other one is stopped."""
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0, speculative=True)
     [start] = add_job(scheduler, step)
@@ -148,19 +149,19 @@
     assert [stop.worker_id for stop in stops] == [start.worker_id]
 
 
-def test_long_running_tasks_are_not_judged_by_progress():
-    """A task that serves stays at 100 percent for as long as it runs."""
+def test_long_running_task_without_progress_is_not_stopped():
+    """Guards against stopping serving tasks, which report 100 percent for as long as they run."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
     confirm_started(scheduler, [start], 0.0)
     assert report_progress(scheduler, start, [100] * 20) == []
 
 
-def test_worker_that_fails_everything_gets_less_and_less_work():
-    """Two ends in a row that failed: the worker rests, and for longer after each further one."""
+def test_backoff_of_a_worker_doubles_with_each_further_failure():
+    """The back-off begins after two failed runs in a row, for a worker that fails every run."""
     scheduler = make_scheduler(n_workers=1)
     worker = scheduler.workers["w0"]
-    rests = []
+    backoffs = []
     for number in range(1, 5):
         job_id = f"00000000000000b{number}"
         now = number * 20.0
@@ -169,30 +170,31 @@
             number=number, task=start.task, run_id=start.run_id, how="failed", checkpoint=""
         )
         scheduler.report("w0", make_report(ended=[end]), requested_at=now, now=now)
-        rests.append(max(0.0, worker.retry_at - now))
+        backoffs.append(max(0.0, worker.retry_at - now))
         scheduler.cancel_job(job_id, now)
-    assert rests == [0.0, 0.5, 1.0, 2.0]
+    assert backoffs == [0.0, 0.5, 1.0, 2.0]
 
 
 @pytest.mark.parametrize("late", [True, False])
-def test_what_fills_stands_still_while_users_beside_it_wait(late):
-    """A serving task's tail is over its target: what fills on that worker is paced to nothing.
+def test_background_task_is_paused_while_a_serving_task_exceeds_its_target(late):
+    """Guards against background tasks that delay the users of a serving task on the same worker.
 
-    When the tail has been calm for a while its speed comes back in steps.
+    When the tail latency of the serving task exceeds its target, the background task is paced to 0
+    percent. Once the latency has been below the target for a while, its speed returns in steps.
     """
     scheduler = make_scheduler(n_workers=1)
     [serve] = add_job(
         scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True, target_s=0.1)
     )
-    [fill] = add_job(
+    [background] = add_job(
         scheduler,
         StepSpec(n_tasks=1, cpu_milli=4000, fills=True, estimate_s=60.0),
         job_id="00000000000000a2",
     )
-    confirm_started(scheduler, [serve, fill], 0.0)
+    confirm_started(scheduler, [serve, background], 0.0)
 
     def report(now, tail_ms):
-        active = [make_run_report(serve, 100, tail_ms), make_run_report(fill, 10)]
+        active = [make_run_report(serve, 100, tail_ms), make_run_report(background, 10)]
         actions = scheduler.report("w0", make_report(active), requested_at=now, now=now)
         return [action.percent for action in actions if isinstance(action, SetPace)]
 
@@ -202,8 +204,8 @@
     assert paces == ([[25], [50], [100], []] if late else [[]] * 4)
 
 
-def test_end_that_is_told_again_after_a_take_over_counts_once():
-    """A worker tells the next leader of a failure that the record counts already."""
+def test_failure_reported_again_after_a_take_over_counts_once():
+    """Guards against failing a job early when a worker reports a recorded failure once more."""
     from anvilflow.jobs import JobRecord
 
     scheduler = make_scheduler(n_workers=1)
@@ -225,8 +227,8 @@
     ("left_s", "percent", "moved"),
     [(4.0, 10, True), (4.0, 60, False), (0.5, 60, True), (10.0, 10, False)],
 )
-def test_run_that_cannot_end_before_its_worker_is_moved(left_s, percent, moved):
-    """A worker says how long it stays. After a second the run is at `percent` of its way."""
+def test_run_that_cannot_end_before_its_worker_leaves_is_moved(left_s, percent, moved):
+    """A worker announces that it leaves in `left_s` when its run has done `percent` of its work."""
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=5.0, checkpointing=True)
     [start] = add_job(scheduler, step)
@@ -240,7 +242,7 @@
 
 
 def test_long_running_task_is_moved_shortly_before_its_worker_leaves():
-    """It serves as long as it can, and is started elsewhere before its users would miss it."""
+    """The task serves as long as possible and is restarted before its users lose the service."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, long_running=True))
     confirm_started(scheduler, [start], 0.0)
@@ -256,10 +258,11 @@
 
 
 @pytest.mark.parametrize("connection_refused", [True, False])
-def test_worker_that_left_when_it_said_so_is_not_waited_for(connection_refused):
-    """Its time is over, its entry is gone and it refuses connections: what ran there has ended.
+def test_tasks_of_a_worker_that_left_as_announced_do_not_wait_for_its_lease(connection_refused):
+    """The announced time is over, the registry entry removed, and connections are refused.
 
-    One that only does not answer may have stayed longer: its tasks wait for the lease.
+    All runs of such a worker have ended. A worker that only gives no answer may have stayed longer,
+    so that its tasks wait until its lease has expired.
     """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -278,7 +281,11 @@
 
 
 def test_worker_that_answers_after_a_refused_connection_has_not_left():
-    """It was started anew at its network, say; one more answer that is lost means nothing."""
+    """Guards against second runs of the tasks of a worker that still runs.
+
+    The refused connection may come from a restart of the worker's network. The worker has reported
+    since, so that a later lost response does not show that it has left.
+    """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     confirm_started(scheduler, [start], 0.0)
@@ -293,11 +300,11 @@
     assert scheduler.plan(1.0, 1.0) == []
 
 
-def test_failures_that_are_told_in_another_order_all_count():
-    """A worker falls silent, its task fails elsewhere, and then it comes back with a failure, too.
+def test_failures_reported_out_of_order_all_count():
+    """Guards against starting a task more often than allowed.
 
-    Counted by the highest run alone the older failure would be overlooked, and the task would be
-    started once more than allowed.
+    A worker becomes unreachable, its task fails elsewhere, and then the worker reports a failure of
+    the older run. Counting by the highest run number alone would miss that failure.
     """
     scheduler = make_scheduler(n_workers=2)
     [first] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -312,11 +319,11 @@
 
 
 @pytest.mark.parametrize("n_ends", [499, 500])
-def test_run_that_a_full_report_leaves_out_is_not_started_again(n_ends):
-    """After a long outage a worker has more ends to tell of than fit into one report.
+def test_task_whose_run_is_missing_from_a_full_report_is_not_restarted(n_ends):
+    """Guards against running a completed task again, after an outage with more than 500 ends.
 
-    A run that is neither running nor among them may have ended as done: only a report with room
-    left says that it is gone.
+    One report holds at most 500 ends. A run that is missing from a full report may have ended as
+    done; only a report with fewer ends shows that the run no longer exists.
     """
     scheduler = make_scheduler(n_workers=1)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
@@ -330,11 +337,11 @@
     assert bool(again) is (n_ends < 500)
 
 
-def test_ended_job_is_not_taken_on_again_however_many_have_ended_since():
-    """The store's history is gone, and the leader reads the rows of all jobs anew.
+def test_ended_job_is_not_added_again_after_thousands_of_other_ends():
+    """Guards against running ended jobs again when the leader reads the rows of all jobs again.
 
-    They stay for minutes after their jobs' ends. A leader that remembered only the last 2,000 ends
-    took the older rows for new jobs and ran them a second time.
+    The leader does so when the store's history is lost. Rows stay for minutes after the end of
+    their jobs. A leader that kept only the last 2,000 ends treated the older rows as new jobs.
     """
     scheduler = make_scheduler()
     for number in range(3000):
@@ -343,8 +350,8 @@
     assert add_job(scheduler, step, job_id=f"{0:016x}") == []
 
 
-def test_memory_of_ended_jobs_goes_with_their_rows():
-    """What is remembered is bounded by the time for which rows are kept."""
+def test_ended_job_is_dropped_when_its_rows_are_deleted():
+    """Guards against unbounded growth: ended jobs are kept no longer than their rows."""
     scheduler = make_scheduler()
     scheduler.drop_job("00000000000000a1", JobState.COMPLETED, 0.0)
     scheduler.drop_ended_job("00000000000000a1")
@@ -352,11 +359,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_plans_do_not_look_at_jobs_of_which_nothing_waits(monkeypatch, safeguard):
-    """A hundred jobs run; one more event follows, and with it a plan.
+def test_plan_skips_jobs_without_waiting_tasks(monkeypatch, safeguard):
+    """Guards against plans that check every running task, here those of a hundred jobs.
 
-    Looked at again after each event, the running tasks of a large cell took most of the leader's
-    processor, and every lookup waited for it.
+    Checking them after each event took most of the leader's processor time in a large cell and
+    delayed every lookup.
     """
     if not safeguard:
         monkeypatch.setattr(JobRun, "suspend_if_idle", lambda self: None)
@@ -364,15 +371,15 @@
     for number in range(100):
         step = StepSpec(n_tasks=1, cpu_milli=100)
         confirm_started(scheduler, add_job(scheduler, step, job_id=f"{number:016x}"), 0.0)
-    looked = []
+    checked = []
     original = StepRun.waiting
-    monkeypatch.setattr(StepRun, "waiting", lambda self: looked.append(self) or original(self))
+    monkeypatch.setattr(StepRun, "waiting", lambda self: checked.append(self) or original(self))
     scheduler.plan(0.2, 0.2)
-    assert (len(looked) <= 1) is safeguard
+    assert (len(checked) <= 1) is safeguard
 
 
-def test_job_that_rests_is_planned_again_when_a_task_of_it_waits():
-    """A task fails while its job rests: it is started once more."""
+def test_idle_job_is_planned_again_when_one_of_its_tasks_fails():
+    """Guards against leaving a failed task waiting because its job was left out of plans."""
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000))
     confirm_started(scheduler, [start], 0.0)
@@ -383,12 +390,12 @@
     assert again.run_id == 2
 
 
-def test_end_of_a_task_waits_for_the_record_of_its_jobs_cancelling():
-    """A job is cancelled while the store is away; one of its tasks is done before it is stopped.
+def test_end_of_a_task_is_not_acknowledged_before_its_jobs_cancellation_is_durable():
+    """Guards against the next leader running a task of a cancelled job a second time.
 
-    Then the leader goes. Nobody else knows of the cancelling, and the worker had been told to
-    forget the end: the next leader ran the task a second time. The end stays with the worker until
-    the job's own end is durable.
+    The job is cancelled while the store is unavailable, one of its tasks is done before it is
+    stopped, and the leader fails. No other instance has the cancellation, so that the worker must
+    keep the task's end until the job's own end is durable.
     """
     scheduler = make_scheduler(n_workers=1)
     [start, other] = add_job(scheduler, StepSpec(n_tasks=2, cpu_milli=1000))
@@ -406,8 +413,8 @@
 
 
 @pytest.mark.parametrize("outcome", ["unknown", "room", "unreached"])
-def test_rest_of_a_gang_is_stopped_when_one_member_is_not_started(outcome):
-    """The others waited at work for the missing one until they ended alone."""
+def test_other_members_of_a_gang_are_stopped_when_one_is_not_started(outcome):
+    """Guards against members that run without the missing one until they end as ``alone``."""
     scheduler = make_scheduler(3)
     starts = add_job(scheduler, StepSpec(n_tasks=3, cpu_milli=6_000, gang=True))
     confirm_started(scheduler, starts[:2], 0.1)
--- a/anvilflow/jobs/tests/test_spec.py
+++ b/anvilflow/jobs/tests/test_spec.py
@@ -1,4 +1,4 @@
-"""Which queue a call belongs to, and what the row of a job holds."""
+"""Assignment of calls to queues, and the stored row of a job."""
 
 from random import Random
 from time import process_time
@@ -15,7 +15,7 @@
 
 
 def test_longest_prefix_of_the_host_wins():
-    """Prefixes lie within each other, and other hosts have the same ones."""
+    """Prefixes are nested, and other hosts use the same ones."""
     prefixes = ("/", "/a/", "/a/b/", "/ab/")
     queues = [_queue(number, prefix=prefix) for number, prefix in enumerate(prefixes)]
     queues.append(_queue(9, host="other.example", prefix="/a/b/c/"))
@@ -26,8 +26,8 @@
     assert config.queue_for("nobody.example", "/a/") is None
 
 
-def test_index_finds_what_a_search_finds():
-    """Random prefixes and paths of few letters, so that many match; ties go to the first."""
+def test_index_finds_the_same_queue_as_a_linear_search():
+    """Random prefixes and paths of few letters, so that many match; ties go to the first queue."""
     random_state = Random(3)
     texts = ["".join(random_state.choices("ab/", k=random_state.randint(0, 6))) for _ in range(400)]
     queues = tuple(_queue(number, prefix=text) for number, text in enumerate(texts[:200]))
@@ -38,8 +38,8 @@
         assert config.queue_for("desk.example", path) is expected
 
 
-def test_more_urgent_is_asked_within_a_service():
-    """A queue of another service does not count."""
+def test_more_urgent_queues_are_those_of_the_same_service():
+    """Guards against counting a more urgent queue of another service."""
     queues = (_queue(1, priority=2), _queue(2, service="other", priority=0), _queue(3, priority=1))
     config = CellConfig(version=1, queues=queues)
     assert config.has_more_urgent(queues[0])
@@ -47,8 +47,8 @@
     assert not config.has_more_urgent(queues[1])
 
 
-def test_thousands_of_queues_cost_a_call_nothing():
-    """Before the index a call took 0.97 ms with 4,200 queues, now 0.001 ms."""
+def test_lookup_among_thousands_of_queues_is_fast():
+    """Guards against a linear search: 0.97 ms a call with 4,200 queues, 0.001 ms with the index."""
     config = CellConfig(version=1, queues=tuple(_queue(number) for number in range(N_QUEUES)))
     config.queue_for("desk.example", "/")
     began = process_time()
@@ -57,8 +57,10 @@
     assert (process_time() - began) / 1000 < 1e-4
 
 
-def test_row_of_a_job_leaves_out_what_is_as_usual():
-    """A new leader reads the rows of all jobs: over a narrow link the names alone took seconds."""
+def test_row_of_a_job_omits_default_values():
+    """Guards against long take-overs: a new leader reads all rows, and over a narrow link the field
+    names alone took seconds.
+    """
     spec = JobSpec(job_id="0" * 16, queue="q", payload="p", steps=(StepSpec(n_tasks=2),))
     row = encode(spec)
     assert decode(row, JobSpec) == spec
@@ -66,8 +68,8 @@
     assert len(row) < 100
 
 
-def test_row_that_an_earlier_release_wrote_in_full_is_read():
-    """Instances of two releases share the table while the cell is upgraded."""
+def test_row_with_all_defaults_written_by_an_earlier_release_is_read():
+    """Instances of two releases share the table during an upgrade of the cell."""
     in_full = {"n_tasks": 2, "gang": False, "after": [], "label": "", "target_s": 0.0}
     row = {"job_id": "0" * 16, "queue": "q", "payload": "p", "steps": [in_full], "first_at": 0.0}
     assert decode(encode(row), JobSpec).steps == (StepSpec(n_tasks=2),)
