--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -249,7 +249,8 @@
     def _stop_stalled_runs(self, now):
         """Return the stops of stalled and slow runs; keep new work off their workers for a while.
 
-        Where the step allows copies, the run goes on, and the next plan starts a copy beside it.
+        Where the step allows copies and the task has none yet, the run goes on, and the next plan
+        starts a copy beside it.
         """
         actions = []
         stalled = find_stalled_runs(self, now) if self.policy.judges_runs else []
--- a/anvilflow/jobs/tests/test_scheduler.py
+++ b/anvilflow/jobs/tests/test_scheduler.py
@@ -121,7 +121,7 @@
 
 
 def test_runs_of_a_job_far_larger_than_its_estimate_are_not_stopped():
-    """Guards against discarding work of runs that are slow on every worker."""
+    """Guards against restarting runs that are slow on every worker, which wastes their work."""
     scheduler = make_scheduler()
     step = StepSpec(n_tasks=2, cpu_milli=1000, estimate_s=1.0, max_per_worker=1)
     starts = add_job(scheduler, step)
