--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -84,7 +84,7 @@
         self.note_survivals(worker, now)
         self._confirm_worker(worker, now)
         if worker.unreachable:
-            self.needs_whole_plan = True
+            self.needs_full_plan = True
         worker.unreachable = worker.connection_refused = False
         actions += pace_background_tasks(self, worker, now)
         return actions
@@ -147,7 +147,7 @@
         if self._may_appear_in_feed(job_id):
             return True
         job = self.jobs.get(job_id)
-        return job is not None and not job.is_ended and job.is_to_open(name)
+        return job is not None and not job.is_ended and job.is_of_future_occurrence(name)
 
     def _apply_early_reports(self, job, now):
         """Apply what workers reported about tasks before the tasks were known: ends, then runs.
@@ -334,7 +334,7 @@
             if step is not None:
                 step.tickets.pop(worker_id, None)
         elif outcome == "no payload":
-            run.job.hold_back_until = now + NO_PAYLOAD_RETRY_S
+            run.job.starts_delayed_until = now + NO_PAYLOAD_RETRY_S
         elif outcome in ("room", "unhealthy"):
             self._note_worker_failure(run.worker, now)
             run.worker.retry_at = max(run.worker.retry_at, now + FIRST_BACKOFF_S)
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -25,8 +25,8 @@
 
     Notes
     -----
-    `freed` are the workers whose free capacity has grown since the last plan. `needs_whole_plan`
-    means that a change may affect any step, `planned_whole_at` is the time of the last plan of all
+    `freed` are the workers whose free capacity has grown since the last plan. `needs_full_plan`
+    means that a change may affect any step, `last_full_plan_at` is the time of the last plan of all
     steps. `asking` holds the advice requests in flight, by step, `held_asks` the steps that wait to
     request advice, `asked_last` the worker after which the next request begins. `nameless` are the
     registry entries that name no worker.
@@ -44,8 +44,8 @@
         self.asked_last = None
         self.allowed_shares = AllowedShares()
         self.freed = set()
-        self.needs_whole_plan = True
-        self.planned_whole_at = float("-inf")
+        self.needs_full_plan = True
+        self.last_full_plan_at = float("-inf")
         self.nameless = set()
         self.pace_changed_at = {}
         self._first_start_delays = []
@@ -65,7 +65,7 @@
             self.nameless.discard(info.worker_id)
         worker.update_info(info)
         worker.listed = True
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
         worker.note_leaving(now)
         return is_new
 
@@ -84,7 +84,7 @@
         if worker.confirmed:
             return
         worker.confirmed = True
-        self.needs_whole_plan = True
+        self.needs_full_plan = True
         worker.runs_known = False
         worker.lease_over_at = lease_end(now, self.lease_s)
         n_confirmed = sum(each.confirmed for each in self.workers.values())
@@ -111,7 +111,7 @@
         """Note which workers the leader's row names, now that the row is durable."""
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
-                self.needs_whole_plan = True
+                self.needs_full_plan = True
             worker.in_handover = worker_id in worker_ids
 
     # Runs
