--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -59,7 +59,7 @@
     token : int
     relay_dispatcher : RelayDispatcher
     events : object
-        Hears what follows: ``act(actions)``, ``changed()``, ``ends_told()``, ``deposed()``,
+        Hears what follows: ``act(actions)``, ``changed()``, ``ends_reported()``, ``deposed()``,
         ``fail_with(failure)``.
     """
 
@@ -271,7 +271,7 @@
 
     def read_again(self):
         """Look again at entries that named no worker: the configuration has changed."""
-        for row in self._registry.rows_aside:
+        for row in self._registry.ignored_rows:
             self.take_registry_entry(row)
 
     def registry_entry_removed(self, worker_id):
@@ -356,7 +356,7 @@
             self.scheduler.report(worker_id, report, requested_at=requested_at, now=self._now())
         )
         if report.ended:
-            self.events.ends_told()
+            self.events.ends_reported()
         # Half of all plans followed reports that said nothing new.
         if is_news or len(worker.runs) != n_runs:
             self.events.changed()
@@ -422,7 +422,7 @@
         if outcome != "started":
             self.events.changed()
         elif action.task in self.scheduler.suspects:
-            self.events.ends_told()
+            self.events.ends_reported()
 
     def _note_no_payload(self, action):
         """Say once of a job that none of its tasks can be started."""
--- a/anvilflow/cell/_follower.py
+++ b/anvilflow/cell/_follower.py
@@ -1,22 +1,22 @@
-"""Follows a table of the store, and reads it anew when its history is gone."""
+"""Follower of a table of the store, which reads the table whole when its history is lost."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
 from ..exceptions import PlatformError, RevisionGoneError
 
-#: Pause between readings after the beginning of a leader, and for how long. Instances that have not
-#: found it yet cannot tell it of the jobs that they accept: a lookup waited for up to a second.
-#: Unit: seconds.
-QUICK_PAUSE_S = 0.1
-QUICK_S = 1.5
+#: Pause between reads at the beginning of a leader's term, and the length of that period. Instances
+#: that have not found the new leader yet cannot notify it of the jobs that they accept: a lookup of
+#: such a job waited for up to a second. Unit: seconds.
+INITIAL_PAUSE_S = 0.1
+INITIAL_PERIOD_S = 1.5
 
-#: Wait after a reading that failed. Unit: seconds.
-AGAIN_S = 0.3
+#: Delay before a failed read is retried. Unit: seconds.
+RETRY_DELAY_S = 0.3
 
 
 class TableFollower:
-    """Hands the changes of a table on until it is closed.
+    """Passes the changes of a table to a callback until closed.
 
     Parameters
     ----------
@@ -26,35 +26,35 @@
     read : callable
         Reads the table whole; returns a Deferred of its rows and version.
     take : callable
-        Called with rows, whether they are the whole table (what is not among them is gone), the
-        version up to which the table is known now, and when it was asked for. Unit: seconds.
+        Called with the rows, whether they are the whole table (rows not among them are removed),
+        the version up to which the table is now known, and the time of the request. Unit: seconds.
     wait_s, pause_s : float, default=0.0
-        Longest wait of one reading, and pause between two. Unit: seconds.
+        Longest wait for changes in one read, and pause between two reads. Unit: seconds.
     """
 
-    def __init__(self, *, context, log, table, read, take, wait_s=0.0, pause_s=0.0):
+    def __init__(self, *, context, log, table, read, on_rows, wait_s=0.0, pause_s=0.0):
         self.context = context
         self.log = log
         self.table = table
         self.read = read
-        self.take = take
+        self.on_rows = on_rows
         self.wait_s = wait_s
         self.pause_s = pause_s
         self.closed = False
 
     def close(self):
-        """Hand nothing on any more."""
+        """Stop passing on changes."""
         self.closed = True
 
     @inlineCallbacks
     def run(self, version):
         """Follow the table from `version`."""
-        quick_until = self.context.clock.seconds() + QUICK_S
-        pause = min(QUICK_PAUSE_S, self.pause_s)
+        initial_until = self.context.clock.seconds() + INITIAL_PERIOD_S
+        pause = min(INITIAL_PAUSE_S, self.pause_s)
         while not self.closed:
             yield self._sleep(pause)
-            is_quick = self.context.clock.seconds() < quick_until
-            pause = min(QUICK_PAUSE_S, self.pause_s) if is_quick else self.pause_s
+            is_initial = self.context.clock.seconds() < initial_until
+            pause = min(INITIAL_PAUSE_S, self.pause_s) if is_initial else self.pause_s
             is_whole = version is None
             requested_at = self.context.clock.seconds()
             try:
@@ -68,10 +68,10 @@
                 continue
             except PlatformError as exc:
                 self.log.info("table not followed", table=self.table, error=str(exc))
-                pause = AGAIN_S
+                pause = RETRY_DELAY_S
                 continue
             if not self.closed:
-                self.take(rows, is_whole, version, requested_at)
+                self.on_rows(rows, is_whole, version, requested_at)
 
     def _changes(self, version):
         return self.context.store.follow(self.table, version, wait_s=self.wait_s)
--- a/anvilflow/cell/_garbage_collector.py
+++ b/anvilflow/cell/_garbage_collector.py
@@ -1,4 +1,4 @@
-"""Shortens the rows of jobs that have ended, and removes them when they ended long ago."""
+"""Shortening of the rows of ended jobs, and their removal after the retention period."""
 
 from collections import deque
 
@@ -17,60 +17,61 @@
     write,
 )
 
-#: Period of looking for rows to remove. Unit: seconds.
+#: Period of the sweeps for rows to shorten or remove. Unit: seconds.
 SWEEP_S = 5.0
 
-#: Time beyond the one for which states must be kept. Clocks of instances differ a little, and a
-#: client may ask at the last moment. Unit: seconds.
-MARGIN_S = 10.0
+#: Time for which rows are kept beyond the period for which states must be available. Clocks of
+#: instances differ slightly, and a client may ask at the last moment. Unit: seconds.
+RETENTION_MARGIN_S = 10.0
 
-#: Jobs removed in one sweep at the most: 60 a second, twice what the larger deployments accept.
+#: Most jobs removed in one sweep: 60 a second, twice what the larger deployments accept.
 JOBS_PER_SWEEP = 300
 
-#: Payload from which a row is worth a second write. Unit: bytes.
-MIN_PAYLOAD_BYTES = 400
+#: Smallest payload for which shortening a row is worth a second write. Unit: bytes.
+MIN_SHORTENED_PAYLOAD_BYTES = 400
 
-#: Jobs in one transaction at the most; it holds 100 entries, and a job has three in a part.
+#: Most jobs in one transaction. It holds 100 conditions and writes; a job has three rows in a part.
 JOBS_PER_COMMIT = 33
 
 
 class GarbageCollector:
-    """Keeps the tables, and the leader's memory, from growing with all jobs that were accepted.
+    """Limits the growth of the tables and of the leader's memory by removing ended jobs.
 
     Parameters
     ----------
     context : CellContext
     on_removed : callable
-        Called with the id of each job whose rows are gone.
+        Called with the id of each job whose rows have been removed.
 
     Notes
     -----
-    The row of the job goes first. Without it a late copy of the job would be accepted anew; without
-    the final state the job would seem to run. For the same reason the leader remembers that a job
-    has ended until its row is gone: one that it had forgotten would be taken on and run once more.
+    The job's row is removed before its final state: a job that has a row but no final state would
+    appear to be running. Once the row is removed, a late copy of the job would be accepted again.
+    For the same reason the leader keeps in memory that a job has ended until its row is removed;
+    otherwise it would adopt the job and run it again.
     """
 
     def __init__(self, *, context, on_removed):
         self.context = context
         self.on_removed = on_removed
         self._ended = deque()
-        self._long = {}
+        self._jobs_to_shorten = {}
 
     def add(self, job_id, ended_at):
-        """Remove a job's rows when they have been kept long enough after `ended_at`."""
+        """Remove a job's rows after the retention period, which begins at `ended_at`."""
         self._ended.append((ended_at, job_id))
 
     def shorten(self, job):
-        """Replace the row of a job that has ended by a short one with the next sweep.
+        """Replace the row of an ended job by a short one in the next sweep.
 
         A new leader reads the rows of all jobs of the last two minutes, most of which have ended.
         """
-        if has_payload(job.spec) and len(job.spec.payload) >= MIN_PAYLOAD_BYTES:
-            self._long.setdefault(job_part(job.job_id), []).append(job)
+        if has_payload(job.spec) and len(job.spec.payload) >= MIN_SHORTENED_PAYLOAD_BYTES:
+            self._jobs_to_shorten.setdefault(job_part(job.job_id), []).append(job)
 
     @inlineCallbacks
     def sweep(self):
-        """Shorten and remove what is due; what is not removed is tried again in the next sweep."""
+        """Shorten and remove the rows that are due; retry failed removals in the next sweep."""
         if not self.context.store_health.is_bad:
             yield self._shorten_rows()
         due = self._take_due()
@@ -82,11 +83,11 @@
 
     @inlineCallbacks
     def _shorten_rows(self):
-        long, self._long = self._long, {}
-        for part, jobs in long.items():
+        jobs_by_part, self._jobs_to_shorten = self._jobs_to_shorten, {}
+        for part, jobs in jobs_by_part.items():
             for chunk in _chunks(jobs):
-                # The condition keeps a write that is carried out late from making a row again that
-                # has been removed meanwhile.
+                # The condition prevents a write that takes effect late from recreating a row that
+                # has been removed in the meantime.
                 conditions = [condition(JOBS, job.job_id, job.version, part=part) for job in chunk]
                 rows = [write(JOBS, job.job_id, short_row(job), part=part) for job in chunk]
                 try:
@@ -98,7 +99,7 @@
                     return
 
     def _take_due(self):
-        kept_s = self.context.settings.bounds.status_kept_s + MARGIN_S
+        kept_s = self.context.settings.bounds.status_kept_s + RETENTION_MARGIN_S
         before = self.context.wall_clock() - kept_s
         due = []
         while self._ended and self._ended[0][0] <= before and len(due) < JOBS_PER_SWEEP:
--- a/anvilflow/cell/_job_intake.py
+++ b/anvilflow/cell/_job_intake.py
@@ -1,4 +1,4 @@
-"""Rows of jobs, as the leader takes them on."""
+"""Intake of stored and newly accepted jobs by the leader."""
 
 from ..exceptions import PlatformError
 from ..jobs import EndedJob, JobRecord, JobState
@@ -7,7 +7,7 @@
 
 
 class JobIntake:
-    """Hands accepted jobs and marks of cancelled ones to the scheduler.
+    """Passes accepted jobs and cancel marks to the scheduler.
 
     Parameters
     ----------
@@ -16,7 +16,7 @@
     scheduler : Scheduler
     garbage_collector : GarbageCollector
     relay_dispatcher : RelayDispatcher
-        Hears which instance has the payload of a job.
+        Is notified which gateway keeps the payload of each job.
     """
 
     def __init__(self, *, context, log, scheduler, garbage_collector, relay_dispatcher):
@@ -30,24 +30,24 @@
 
     @property
     def version(self):
-        """Newest version of the table of jobs that is known here."""
+        """Newest version of the jobs table that this leader has seen."""
         return self._version
 
-    def known_up_to(self, version):
-        """Note that the table is known up to a version."""
+    def advance_version(self, version):
+        """Note that the jobs table is known up to `version`."""
         self._version = max(self._version, version)
 
     def _now(self):
         return self.context.clock.seconds()
 
-    def take_over(self, state):
-        """Take on what the store has when a leader begins; return the stops that follow.
+    def load_state(self, state):
+        """Add the stored jobs when a leader begins; return the stops of cancelled jobs.
 
         Parameters
         ----------
         state : StoredState
         """
-        self.known_up_to(state.jobs_version)
+        self.advance_version(state.jobs_version)
         progress = {row.key: self._decode_row(row, JobRecord) for row in state.progress}
         for row in state.ended:
             value = self._decode_row(row, EndedJob)
@@ -58,10 +58,10 @@
         for row in state.jobs:
             if not row.key.endswith(CANCEL_MARK):
                 self._add_row(row, progress.get(row.key))
-        return [action for row in marks for action in self.take(row)]
+        return [action for row in marks for action in self.process_row(row)]
 
-    def take(self, row):
-        """Take a row that came since; return the stops that follow from a mark."""
+    def process_row(self, row):
+        """Process a row that is new since the leader began; return the stops of a cancelled job."""
         if row.value is None:
             return []
         if not row.key.endswith(CANCEL_MARK):
@@ -92,19 +92,19 @@
 
     def _add_row(self, row, record):
         if self.scheduler.has_job(row.key):
-            # Most rows that a leader reads when it begins are of jobs that have ended.
-            self.known_up_to(row.version)
+            # Most rows that a new leader reads belong to jobs that have ended.
+            self.advance_version(row.version)
             return
         is_unreadable = row.key in self._unreadable_job_ids
         value = None if is_unreadable else self._decode_row(row, JobRow)
         if value is None:
-            self.known_up_to(row.version)
+            self.advance_version(row.version)
             return
         self.add(value, row.version, record)
 
     def add(self, value, version, record=None):
-        """Take on a job, once."""
-        self.known_up_to(version)
+        """Add a job to the scheduler, unless the scheduler has it already."""
+        self.advance_version(version)
         added = self.scheduler.add_job(
             value.spec,
             value.queue,
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -1,4 +1,4 @@
-"""The leader of the cell: runs the scheduler, talks to the workers, answers about jobs."""
+"""The leader of the cell: runs the scheduler, commands the workers and answers the gateways."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -24,42 +24,42 @@
 from ._job_store import read_jobs
 from ._leader_calls import LeaderCalls
 from ._leader_heartbeat import LeaderHeartbeat
-from ._leader_state import make_scheduler, read_state, readings_at_once
+from ._leader_state import make_scheduler, max_concurrent_reads, read_state
 from ._loading_heartbeat import LoadingHeartbeat
 from ._pending_jobs import PendingCounts
 from ._recorder import Recorder
 from ._relay_dispatcher import RelayDispatcher
 from ._tables import JOBS
 
-#: Longest time between two plans: what falls due by time alone is seen by then. A plan with nothing
-#: to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
-PLAN_S = 0.05
+#: Longest time between two plans, so that actions that become due by the passing of time alone are
+#: found. A plan with nothing to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
+PLAN_PERIOD_S = 0.05
 
-#: Time that changes are gathered for one plan at a leader that is short of link or processor. Unit:
+#: Time for which a leader that is short of link or processor collects changes for one plan. Unit:
 #: seconds.
-SHORT_PLAN_S = 0.01
+CONSTRAINED_PLAN_DELAY_S = 0.01
 
-#: Pause between readings of the accepted jobs. Entries tell the leader of them at once; the feed
-#: finds those whose entry died before it could. Unit: seconds.
+#: Pause between two reads of the changes of the jobs table. Gateways notify the leader of accepted
+#: jobs immediately; the reads find jobs whose gateway failed before it could. Unit: seconds.
 JOBS_FEED_S = 1.0
 
-#: Longest wait of one reading of the workers' entries. Unit: seconds.
+#: Longest wait for changes in one read of the workers' registry. Unit: seconds.
 WORKERS_FEED_S = 2.0
 
-#: Silence of the store, for this instance alone, after which the leader offers its place to
-#: another. Unit: seconds.
-STORE_BAD_S = 0.1
+#: Time for which the leader's own calls to the store may stay unanswered before the leader asks
+#: another instance to take over. Unit: seconds.
+MAX_STORE_OUTAGE_S = 0.1
 
-#: Time for which each plan has to leave starts to a later one before entries are told how long new
-#: jobs wait: a burst that is over sooner makes nobody late. Unit: seconds.
+#: Time for which every plan must have deferred starts before the leader reports to the gateways how
+#: long new jobs wait. A burst that ends sooner makes no job late. Unit: seconds.
 DEFERRED_S = 1.0
 
-#: Wait before a leader that could not read its tables reads them again. Unit: seconds.
-_AGAIN_S = 0.3
+#: Delay before a leader that failed to read its tables reads them again. Unit: seconds.
+_RELOAD_DELAY_S = 0.3
 
 
 class LeaderPart(Part):
-    """Exists idle in every instance; after a claim it is the leader until it is deposed."""
+    """Part of every instance: idle until this instance claims, the leader until it is deposed."""
 
     prefix = "home"
 
@@ -73,7 +73,7 @@
         self._fleet = None
         self._followers = []
         self._calls = None
-        self._planned = None
+        self._pending_plan = None
         self._loaded = False
         self.loaded_at = None
         self._n_failed_loads = 0
@@ -83,20 +83,21 @@
         self._leader_heartbeat = LeaderHeartbeat(context=context, log=self.log, leader=self)
 
     def start(self):
-        """Wait for a claim."""
+        """Subscribe to claims and start the periodic calls."""
         self.on(Claimed, self._begin)
         self.on(Deposed, lambda *_: self._end())
         self.on(ConfigChanged, self._config_changed)
         self.on(Leaving, lambda *_: self._leader_heartbeat.tell())
         self.every(LAG_PERIOD_S, self._leader_heartbeat.heartbeat_due)
-        self.every(PLAN_S, self._plan_due)
+        self.every(PLAN_PERIOD_S, self._plan_due)
         self.every(SWEEP_S, self._sweep, delay=SWEEP_S)
 
     def stop(self):
-        """Give up being leader.
+        """Stop acting as the leader.
 
-        A part that is restarted after a fault has forgotten that it was. Said here, this instance
-        looks for the leader again; else it would wait for itself for ever.
+        A part that is restarted after a fault does not know that it was the leader. The event
+        posted here makes this instance look for the leader again; without it the instance would
+        wait for itself forever.
         """
         was_leader = self._claimed is not None
         self._end()
@@ -105,7 +106,7 @@
         super().stop()
 
     def dump(self):
-        """Return what is known of jobs and workers."""
+        """Return the states of jobs and workers, for diagnostics."""
         scheduler = self._scheduler
         if scheduler is None:
             return {}
@@ -119,7 +120,7 @@
             },
         }
 
-    # Beginning and end
+    # Start and end of a term
 
     def _begin(self, _, claimed):
         if claimed is not self._claimed:
@@ -141,15 +142,17 @@
         self._n_failed_loads += 1
         if self._claimed is claimed:
             self._loading_heartbeat.close()
-            self.later(jitter(self.context.random_state, _AGAIN_S), self._begin_again, claimed)
+            self.later(
+                jitter(self.context.random_state, _RELOAD_DELAY_S), self._retry_load, claimed
+            )
 
-    def _begin_again(self, claimed):
+    def _retry_load(self, claimed):
         if self._claimed is claimed:
             self._begin(None, claimed)
 
     @inlineCallbacks
     def _load(self, claimed):
-        """Read what lasts, then hear the workers: only then anything is started."""
+        """Read the stored state, then contact the workers; tasks start only after that."""
         claimed_at = self.now
         state = yield self._read_tables(claimed)
         if self._claimed is not claimed:
@@ -195,7 +198,7 @@
             garbage_collector=self._garbage_collector,
             relay_dispatcher=self._relay_dispatcher,
         )
-        self.act(self._intake.take_over(state))
+        self.act(self._intake.load_state(state))
         for row in state.workers:
             self._fleet.take_registry_entry(row)
         for handover in claimed.former.handover if claimed.former is not None else ():
@@ -219,7 +222,7 @@
 
     @inlineCallbacks
     def _read_tables(self, claimed):
-        """Return the state of the tables: what is known of them already, or read whole."""
+        """Return the stored state, from the standby tables if possible, else from the store."""
         context = self.context
         if context.standby_tables is not None:
             state = yield context.standby_tables.state(claimed.former, context.config)
@@ -229,19 +232,19 @@
             context.store,
             claimed.former,
             context.config,
-            at_once=self._readings_at_once(claimed),
+            max_concurrent=self._max_concurrent_reads(claimed),
         )
         return state
 
-    def _readings_at_once(self, claimed):
+    def _max_concurrent_reads(self, claimed):
         n_failed = self._n_failed_loads + (claimed.former.n_loads if claimed.former else 0)
-        return readings_at_once(self.context.settings.link_mbps, n_failed)
+        return max_concurrent_reads(self.context.settings.link_mbps, n_failed)
 
     def _sweep(self):
         return self._garbage_collector.sweep() if self._garbage_collector is not None else None
 
     def deposed(self):
-        """Another leader has begun."""
+        """Announce in this instance that another leader has begun."""
         self.post(Deposed())
 
     def _end(self):
@@ -275,24 +278,24 @@
             self._fleet.read_again()
             self.changed()
 
-    # Telling the others
+    # Reports to the other instances
 
     def measure_load(self):
-        """Note whether this instance is short of link or processor, as the leader."""
+        """Check whether the leader is short of link or processor, and so uses relays."""
         if self._relay_dispatcher is not None:
             self._relay_dispatcher.measure()
             self.context.uses_relays = self._relay_dispatcher.are_used
 
     def heartbeat(self):
-        """Return what the leader says of itself and of what waits."""
+        """Return the full heartbeat: the leader's state, pending jobs and start delays."""
         return self._leader_heartbeat.full_heartbeat()
 
     def waiting(self):
-        """Return what waits, for the other instances."""
+        """Return the counts of pending jobs, for the other instances."""
         return PendingCounts(counts=self._scheduler.n_waiting(), version=self._intake.version)
 
     def start_waits(self):
-        """Return how long new jobs wait until their tasks can be sent, by priority."""
+        """Return how long the tasks of a new job wait to be sent, by priority. Unit: seconds."""
         scheduler = self._scheduler
         if scheduler.starts_deferred_s(self.now) < DEFERRED_S:
             return {}
@@ -301,26 +304,30 @@
 
     @property
     def term(self):
-        """How many leaders there were, this one included; 0 where this is none."""
+        """Number of leaders so far, this one included; 0 if this instance is not the leader."""
         return self._claimed.term if self._claimed else 0
 
     @property
     def is_store_unavailable(self):
-        """Whether the store has not answered the leader's own calls for a while."""
-        return self._recorder is not None and self._recorder.reach.bad_for_s > STORE_BAD_S
+        """Whether the leader's own calls to the store have been unanswered for too long."""
+        return (
+            self._recorder is not None
+            and self._recorder.own_store_health.bad_for_s > MAX_STORE_OUTAGE_S
+        )
 
     @property
     def is_loading(self):
-        """Whether this instance has claimed and still reads what lasts.
+        """Whether this instance has claimed and is still reading the stored state.
 
-        It says so: a leader on a slow link that was silent meanwhile was taken for dead, and its
-        successor after it. One that cannot read its tables offers its place.
+        It sends heartbeats meanwhile: a leader on a slow link that sent none while it loaded was
+        taken for failed, and so was its successor. A leader that cannot read its tables asks
+        another instance to take over.
         """
         return self._claimed is not None and not self._loaded
 
     @property
     def has_failed_loading(self):
-        """Whether its tables cannot be read, or not in time."""
+        """Whether reading the tables has failed or takes too long."""
         return self._n_failed_loads > 0 or (self.is_loading and self._loading_heartbeat.is_late)
 
     # Following tables
@@ -332,8 +339,10 @@
                 context=self.context,
                 log=self.log,
                 table=JOBS,
-                read=lambda: read_jobs(store, readings_at_once(self.context.settings.link_mbps, 0)),
-                take=self._take_jobs,
+                read=lambda: read_jobs(
+                    store, max_concurrent_reads(self.context.settings.link_mbps, 0)
+                ),
+                on_rows=self._process_job_rows,
                 pause_s=JOBS_FEED_S,
             ),
             TableFollower(
@@ -341,23 +350,23 @@
                 log=self.log,
                 table=REGISTRY_TABLE,
                 read=lambda: store.read(REGISTRY_TABLE, ""),
-                take=self._take_workers,
+                on_rows=self._process_worker_rows,
                 wait_s=WORKERS_FEED_S,
             ),
         ]
         for follower, version in zip(self._followers, (jobs_version, workers_version), strict=True):
             follower.run(version).addErrback(self.fail_with)
 
-    def _take_jobs(self, rows, _, version, requested_at):
-        self._intake.known_up_to(version)
+    def _process_job_rows(self, rows, _, version, requested_at):
+        self._intake.advance_version(version)
         for row in rows:
-            self.act(self._intake.take(row))
+            self.act(self._intake.process_row(row))
         self._scheduler.jobs_read(requested_at)
         self._fleet.acknowledge()
         self._recorder.trigger()
         self.changed()
 
-    def _take_workers(self, rows, is_whole, version, _):
+    def _process_worker_rows(self, rows, is_whole, version, _):
         self._scheduler.registry_version = version
         for row in rows:
             self._fleet.take_registry_entry(row)
@@ -368,26 +377,29 @@
         self.changed()
 
     def add_job(self, value, version):
-        """Take on a job that an entry has accepted."""
+        """Add a job that a gateway has accepted."""
         self._intake.add(value, version)
         self.changed()
 
     def serve(self, call):
-        """Answer an entry's :class:`JobCall`; the Deferred fires with a :class:`JobReply`."""
+        """Answer a gateway's :class:`JobCall`; the Deferred fires with a :class:`JobReply`."""
         return self._calls.serve(call)
 
     # Decisions
 
     def changed(self):
-        """Plan in this turn of the reactor, once for all that changes in it.
+        """Schedule one plan for all changes in this turn of the reactor.
 
-        A leader that is short of processor plans once for what changes in some turns.
+        While the leader uses relays, because it is short of link or processor, one plan covers the
+        changes of several turns.
         """
-        if self._planned is None and self._scheduler is not None:
-            self._planned = self.later(SHORT_PLAN_S if self.context.uses_relays else 0, self._plan)
+        if self._pending_plan is None and self._scheduler is not None:
+            self._pending_plan = self.later(
+                CONSTRAINED_PLAN_DELAY_S if self.context.uses_relays else 0, self._plan
+            )
 
     def _plan(self):
-        self._planned = None
+        self._pending_plan = None
         scheduler = self._scheduler
         if scheduler is None or not self._loaded or not self._fleet.may_send_commands():
             return
@@ -402,11 +414,11 @@
             self._recorder.trigger()
 
     def _plan_due(self):
-        if self._planned is None:
+        if self._pending_plan is None:
             self._plan()
 
     def act(self, actions):
-        """Carry out what the scheduler decided."""
+        """Carry out actions of the scheduler."""
         if self._fleet is None:
             return
         for action in actions:
@@ -451,7 +463,7 @@
         if advice is None:
             scheduler.advice_received(action.step, action.workers, None, 0.0, self.now)
         else:
-            # The ticket's time runs from its making, which is at most the call's length ago.
+            # A ticket is valid from its issue, which is at most the duration of the call ago.
             valid_until = self.now + advice.valid_s
             scheduler.advice_received(
                 action.step, action.workers, advice.tickets, valid_until, self.now
@@ -465,14 +477,14 @@
         )
         self.changed()
 
-    def ends_told(self):
-        """Ends wait for their record."""
+    def ends_reported(self):
+        """Record the ends that workers have reported, at the next opportunity."""
         self._recorder.trigger()
 
     # Records
 
     def _recorded(self, ended):
-        # Workers that the row no longer names take work again.
+        # Workers that the leader's row no longer names get tasks again.
         self.changed()
         self._fleet.acknowledge()
         for job in ended:
--- a/anvilflow/cell/_leader_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -1,4 +1,4 @@
-"""What the leader answers to entries."""
+"""The leader's answers to calls of gateways."""
 
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
@@ -10,7 +10,7 @@
 
 
 class LeaderCalls:
-    """Answers the calls of entries during one term of the leader.
+    """Answers the calls of gateways during one term of the leader.
 
     Parameters
     ----------
@@ -30,12 +30,12 @@
         self.recorder = recorder
         self.leader = leader
         self.closed = False
-        self._cancelling = {}
+        self._pending_cancels = {}
 
     def close(self):
-        """Answer all that wait: this is not the leader any more."""
+        """Answer all pending calls: this instance is no longer the leader."""
         self.closed = True
-        cancelling, self._cancelling = self._cancelling, {}
+        cancelling, self._pending_cancels = self._cancelling, {}
         for done in [done for each in cancelling.values() for done in each]:
             done.callback(_reply("not home"))
 
@@ -58,8 +58,8 @@
                 return succeed(_reply("failed"))
 
     def job_ended(self, job_id):
-        """A job's end is durable: answer those who wait for it."""
-        for done in self._cancelling.pop(job_id, ()):
+        """Answer the pending cancel calls of a job whose end is durable."""
+        for done in self._pending_cancels.pop(job_id, ()):
             done.callback(_reply("ok"))
 
     def _cancel(self, job_id):
@@ -69,7 +69,7 @@
             return succeed(_reply("unknown"))
         self.log.info("job cancelled", job=job_id)
         done = Deferred()
-        self._cancelling.setdefault(job_id, []).append(done)
+        self._pending_cancels.setdefault(job_id, []).append(done)
         self.leader.act(self.scheduler.cancel_job(job_id, self.context.clock.seconds()))
         self.recorder.trigger()
         self.leader.changed()
@@ -77,7 +77,7 @@
 
     @inlineCallbacks
     def _submit(self, call):
-        """Store a job for an entry that does not reach the store."""
+        """Store a job for a gateway that cannot reach the store."""
         if self.leader.is_store_unavailable:
             return _reply("refused")
         value = decode(call.body, JobRow)
--- a/anvilflow/cell/_leader_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -1,4 +1,4 @@
-"""What a new leader reads of the store before it decides anything."""
+"""Stored state that a new leader reads before it makes any decision."""
 
 from functools import partial
 
@@ -13,49 +13,49 @@
 from ._registry import is_worker_entry
 from ._tables import ENDED, JOB_PARTS, JOBS, PART, PROGRESS
 
-#: Readings of one table or part under way at the same time. Where the store is slow each takes a
-#: quarter of a second, so that a fast link takes all at once.
-READS_AT_ONCE = 36
+#: Largest number of concurrent reads, each of one table or part. In a slow store each takes a
+#: quarter of a second, so a leader with a fast link makes all reads at once.
+MAX_CONCURRENT_READS = 36
 
-#: Bandwidth that each of them needs. Their answers queue on the link window by window, and one of
-#: which nothing arrives for 0.8 s is given up: a window of 16 kB takes 0.5 s over this. Over
-#: 2 Mbit/s 35 answers of 0.7 MB in all waited for each other until all were given up, and 17
-#: leaders in a row loaded in vain. Unit: Mbit/s.
-MBPS_PER_READING = 0.25
+#: Link bandwidth that each concurrent read needs. The answers share the link window by window, and
+#: a read that receives nothing for 0.8 s fails; at this bandwidth a window of 16 kB takes 0.5 s.
+#: Over 2 Mbit/s, 35 answers of 0.7 MB in total waited for each other until all timed out, and 17
+#: leaders in a row failed to load. Unit: Mbit/s.
+MBPS_PER_READ = 0.25
 
-#: Part of the readings that a further try has under way, after one that failed: the link may be
-#: narrower than the settings say.
-NEXT_TRY_SHARE = 4
+#: Divisor of the number of concurrent reads, applied once for each failed attempt to load: the link
+#: may be narrower than the settings say.
+RETRY_READS_DIVISOR = 4
 
 
-def readings_at_once(link_mbps, n_failed):
-    """Return how many readings a leader should have under way over its link.
+def max_concurrent_reads(link_mbps, n_failed):
+    """Return how many concurrent reads a leader should make over its link.
 
     Parameters
     ----------
     link_mbps : float or None
-        Of this instance; None: not known. Unit: Mbit/s.
+        Bandwidth of this instance's link; None if unknown. Unit: Mbit/s.
     n_failed : int
-        Tries to load in a row that have failed, here and by leaders before.
+        Consecutive failed attempts to load, of this leader and of earlier ones.
 
     Examples
     --------
-    >>> readings_at_once(1000.0, 0)
+    >>> max_concurrent_reads(1000.0, 0)
     36
-    >>> readings_at_once(2.0, 0)
+    >>> max_concurrent_reads(2.0, 0)
     8
-    >>> readings_at_once(1000.0, 2)
+    >>> max_concurrent_reads(1000.0, 2)
     2
     """
-    fitting = READS_AT_ONCE if link_mbps is None else int(link_mbps / MBPS_PER_READING)
-    return max(1, min(READS_AT_ONCE, fitting) // NEXT_TRY_SHARE**n_failed)
+    fitting = MAX_CONCURRENT_READS if link_mbps is None else int(link_mbps / MBPS_PER_READ)
+    return max(1, min(MAX_CONCURRENT_READS, fitting) // RETRY_READS_DIVISOR**n_failed)
 
 
 class StoredState(Struct, kw_only=True):
-    """Rows of the tables, each with the version to follow it from.
+    """Rows of the tables, with the versions from which to follow the jobs and the registry.
 
-    `missing` are the workers that have left the registry since the former leader wrote about it;
-    None when that is no longer known.
+    `missing` are the workers that have left the registry since the former leader wrote its row;
+    None if they are no longer known.
     """
 
     jobs: list[Row]
@@ -68,18 +68,18 @@
 
 
 @inlineCallbacks
-def read_state(store, former, config=None, *, at_once=READS_AT_ONCE):
-    """Return the :class:`StoredState`.
+def read_state(store, former, config=None, *, max_concurrent=MAX_CONCURRENT_READS):
+    """Read the tables; the Deferred fires with a :class:`StoredState`.
 
     Parameters
     ----------
     store : StoreClient
     former : LeaderRow or None
-        The former leader's row; None: there was none.
+        The former leader's row; None if there was none.
     config : CellConfig, default=None
-        Names the services whose entries count.
+        Names the services whose registry entries count; None if those of any service do.
     at_once : int
-        Readings under way at the same time.
+        Largest number of concurrent reads.
     """
     reads = [
         partial(store.read, PROGRESS, PART),
@@ -87,7 +87,7 @@
         partial(_read_workers, store, former, config),
         *(partial(store.read, JOBS, part) for part in JOB_PARTS),
     ]
-    (progress, _), (ended, _), found, *parts = yield gather(reads, at_once)
+    (progress, _), (ended, _), found, *parts = yield gather(reads, max_concurrent)
     workers, workers_version, missing = found
     jobs, jobs_version = join_parts(parts)
     return StoredState(
@@ -104,7 +104,7 @@
 @inlineCallbacks
 def _read_workers(store, former, config):
     workers, version = yield store.read(REGISTRY_TABLE, "")
-    # After the reading: a worker that leaves between the two is in one of them.
+    # Called after the read, so that a worker that leaves between the two is in one of the results.
     missing = yield find_missing(store, former, config)
     if missing is not None:
         missing -= {row.key for row in workers if is_worker_entry(row, config)}
@@ -113,12 +113,12 @@
 
 @inlineCallbacks
 def find_missing(store, former, config=None):
-    """Return the ids of workers that have left since, or None when that is no longer known.
+    """Return the ids of workers that have left the registry since `former`, or None if unknown.
 
-    Entries lapse while the store is away, and the leader that holds the workers cannot say so:
-    their tasks run on, on workers that the next leader would not even look for. An entry that
-    another program has overwritten does not say where its worker is, either. One that the former
-    leader knew to name no worker is nobody's.
+    Registry entries lapse while the store is unavailable, and the leader that renews the workers'
+    leases cannot record this. The tasks keep running, on workers that the next leader would not
+    look for. An entry that another program has overwritten does not give its worker's address
+    either. Entries that the former leader knew to name no worker are left out.
     """
     if former is None:
         return frozenset()
@@ -138,7 +138,7 @@
 
 
 def make_scheduler(context, claimed, missing):
-    """Return the :class:`Scheduler` of a leader that begins.
+    """Return the :class:`Scheduler` of a new leader.
 
     Parameters
     ----------
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -1,4 +1,4 @@
-"""Makes the progress of jobs durable, many changes in one transaction."""
+"""Durable records of the progress of jobs, many changes in one transaction."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
@@ -20,65 +20,67 @@
     write,
 )
 
-#: Least time between two transactions, so that ends of several tasks share one. While an end is
-#: not durable the worker tells of it again and again, so it is not heard at once of the next one:
-#: each wait here is one that the next end may have, too. Unit: seconds.
-GATHER_S = 0.015
+#: Least time between two transactions, so that the ends of several tasks share one. Until an end is
+#: durable the worker keeps reporting it, and the leader does not receive the next end immediately:
+#: a wait here may delay the next end by as much. Unit: seconds.
+MIN_COMMIT_INTERVAL_S = 0.015
 
-#: The same for a leader that is about to stop: its successor's claim has to come between two of
-#: them. Unit: seconds.
-LEAVING_GATHER_S = 0.1
+#: The same for a leader that is about to stop: its successor's claim has to be made between two of
+#: the transactions. Unit: seconds.
+LEAVING_COMMIT_INTERVAL_S = 0.1
 
-#: The same for a leader that is short of link or processor: ends of a worker that come meanwhile
-#: are told in one answer, and each record is a call. Unit: seconds.
-SHORT_GATHER_S = 0.05
+#: The same for a leader that is short of link or processor: a worker reports the ends of that time
+#: in one answer, and each transaction costs a call. Unit: seconds.
+CONSTRAINED_COMMIT_INTERVAL_S = 0.05
 
-#: Period of writes without anything to record: they show instances that do not reach the leader
-#: that it lives. A take-over waits for two of them, and they cost 7 of the store's 800 calls a
-#: second. Unit: seconds.
+#: Period of transactions when there is nothing to record: they show instances that cannot reach the
+#: leader that it is running. A take-over waits for two of them, and they cost 7 of the store's 800
+#: calls a second. Unit: seconds.
 HEARTBEAT_S = 0.15
 
-#: Jobs in one transaction at the most. A call holds 100 entries; a job that ends takes two, and the
-#: leader's row two. In a slow store a transaction takes 0.7 s, and a burst ends 45 jobs a second.
+#: Most jobs in one transaction. A call holds 100 conditions and writes; an ended job takes two, and
+#: the leader's row two. In a slow store a transaction takes 0.7 s, and in a burst 45 jobs end a
+#: second.
 JOBS_PER_COMMIT = 45
 
-#: Records in one transaction at the most, but for one that is larger by itself. A call holds 1 MB;
-#: records are a third larger on the wire, and the leader's row has up to 64 kB. A call over that
-#: was refused, and made again for ever: nothing was recorded any more. Unit: bytes.
+#: Largest total of the records in one transaction, unless a single record is larger. A call holds
+#: 1 MB; records are a third larger on the wire, and the leader's row has up to 64 kB. A larger call
+#: was refused and repeated forever, so that nothing was recorded any more. Unit: bytes.
 BYTES_PER_COMMIT = 600_000
 
-#: Entries of the registry that name no worker in the leader's row at the most, some 2 kB of it.
-#: After a change of one that is left out a new leader waits for the leases of nobody, 3.8 s.
+#: Most registry entries without a worker that the leader's row lists, some 2 kB of the row. After a
+#: change of an entry that is left out, a new leader waits 3.8 s for leases that no worker has.
 MAX_NAMELESS = 100
 
-#: Shorter waits than this are over: the clock does not tell them from none. Unit: seconds.
-_TICK_S = 1e-4
+#: Shorter waits count as over: the clock cannot distinguish them from zero. Unit: seconds.
+_MIN_WAIT_S = 1e-4
 
 #: Longest wait for the answer to a transaction. Unit: seconds.
 LONGEST_WRITE_S = 2.0
 
-#: Least and longest time after which an answer is doubted, and how many of the last answer's times
-#: it is between them. A leader that the store does not reach is found by it: in 0.8 s, with the
-#: reading that follows. Unit: seconds.
+#: Bounds of the time without an answer after which the leader reads its row to learn whether a
+#: transaction was committed; between them the time is a multiple of the last answer time. The read
+#: has a timeout of its own. Both detect a leader that cannot reach the store, in 0.8 s. Unit:
+#: seconds.
 MIN_TIMEOUT_S = 0.3
 MAX_TIMEOUT_S = 1.0
-TIMEOUT_ANSWERS = 4
+TIMEOUT_FACTOR = 4
 READ_TIMEOUT_S = 0.5
 
-#: Times its lag by which an instance that is short of processor waits for longer: an answer that is
-#: there waits for its turn to be read, as the call waited to be written.
+#: Multiple of its lag by which an instance that is short of processor extends these timeouts: an
+#: answer that has arrived waits to be read, as the call waited to be written.
 LAG_TIMES = 3
 
-#: Wait after a call without an answer. Unit: seconds.
-AGAIN_S = 0.15
+#: Delay before a failed transaction is repeated. Unit: seconds.
+RETRY_DELAY_S = 0.15
 
 
 class Recorder:
-    """Writes records under the leader's row.
+    """Writes the records of jobs in transactions that are fenced by the leader's row.
 
     Every transaction is made on the condition that the leader's row is as the last one left it, and
-    writes the row anew. So a former leader writes nothing, and a transaction without an answer that
-    is carried out seconds later does nothing: the row has moved on by then.
+    writes the row again. So a former leader writes nothing, and a transaction without an answer
+    that is carried out seconds later has no effect: the row has a newer version by then.
 
     Parameters
     ----------
@@ -86,16 +88,17 @@
     claimed : Claimed
     scheduler : Scheduler
     on_recorded : callable
-        Called after each transaction with the jobs that have ended in it.
+        Called after each transaction with the jobs whose ends it has made durable.
     on_deposed : callable
+        Called when the leader's row shows another leader.
     on_confirmed : callable
-        Called with the time at which a call was sent that showed that this is the leader.
+        Called with the time at which a call was sent that confirmed that this is the leader.
 
     Notes
     -----
-    `reach` tells whether the store answers this recorder at all. Other calls of the instance do not
-    count: a part of the store that is full of jobs refuses an entry, and a leader that took this
-    for an outage gave its place away again and again.
+    `own_store_health` tracks whether the store answers this recorder. Other calls of the instance
+    do not count: a part of the store that is full of jobs refuses the writes of a gateway, and a
+    leader that took this for an outage asked for a take-over again and again.
     """
 
     def __init__(self, *, context, claimed, scheduler, on_recorded, on_deposed, on_confirmed):
@@ -109,44 +112,44 @@
         self._row_version = claimed.row_version
         self._term = claimed.term
         self._handover = frozenset()
-        self._written = set()
-        self.reach = StoreHealth(clock=context.clock)
-        self._doubt_s = answer_timeout(context.store_health.answer_s)
+        self._progress_job_ids = set()
+        self.own_store_health = StoreHealth(clock=context.clock)
+        self._answer_timeout_s = answer_timeout(context.store_health.answer_s)
         self._wake = None
 
     def note_progress_rows(self, job_ids):
-        """Note jobs that have a row of progress, which has to be removed at their end."""
-        self._written.update(job_ids)
+        """Note jobs that have a progress row, which must be removed when they end."""
+        self._progress_job_ids.update(job_ids)
 
     def close(self):
-        """Write no more."""
+        """Stop writing."""
         self.stopped = True
         self.trigger()
 
     def trigger(self):
-        """Write now what is due."""
+        """Write the pending records at the next opportunity."""
         if self._wake is not None and self._wake.active():
             self._wake.reset(0)
 
     @inlineCallbacks
     def run(self):
-        """Write what is due, until closed."""
-        wrote_at = self.context.clock.seconds()
+        """Write pending records until closed."""
+        last_commit_at = self.context.clock.seconds()
         while not self.stopped:
             now = self.context.clock.seconds()
-            due = self._due()
-            wait = (self._gather_s() if due else HEARTBEAT_S) - (now - wrote_at)
-            if wait <= _TICK_S:
-                wrote_at = now
+            due = self._due_jobs()
+            wait = (self._commit_interval_s() if due else HEARTBEAT_S) - (now - last_commit_at)
+            if wait <= _MIN_WAIT_S:
+                last_commit_at = now
                 yield self._commit(due)
             else:
                 yield self._sleep(wait)
 
-    def _gather_s(self):
+    def _commit_interval_s(self):
         """Return the least time between two transactions. Unit: seconds."""
         if self.context.leaving:
-            return LEAVING_GATHER_S
-        return SHORT_GATHER_S if self.context.uses_relays else GATHER_S
+            return LEAVING_COMMIT_INTERVAL_S
+        return CONSTRAINED_COMMIT_INTERVAL_S if self.context.uses_relays else MIN_COMMIT_INTERVAL_S
 
     def _sleep(self, delay):
         clock = self.context.clock
@@ -155,21 +158,21 @@
         self._wake = clock.callLater(delay, sleeping.cancel)
         return sleeping
 
-    def _due(self):
+    def _due_jobs(self):
         dirty = self.scheduler.dirty_jobs()
         dirty.sort(key=lambda job: not job.is_ended)
         return dirty[:JOBS_PER_COMMIT]
 
     @inlineCallbacks
     def _commit(self, jobs):
-        snapshot = self._take(jobs)
+        snapshot = self._make_batch(jobs)
         conditions = [condition(LEADER_TABLE, LEADER_KEY, self._row_version)]
         writes = [write(LEADER_TABLE, LEADER_KEY, self._make_row())]
         writes += [item for _, _, items in snapshot for item in items]
-        yield self._repeat(conditions, writes, snapshot)
+        yield self._commit_until_settled(conditions, writes, snapshot)
 
-    def _take(self, jobs):
-        """Return the jobs that fit into one transaction, each with its change and its writes."""
+    def _make_batch(self, jobs):
+        """Return the jobs that fit in one transaction, each with its change number and writes."""
         snapshot = []
         n_bytes = 0
         for job in jobs:
@@ -183,13 +186,14 @@
     def _make_row(self):
         handover = make_handover(self.scheduler, self.context.clock.seconds())
         nameless = sorted(self.scheduler.nameless)[:MAX_NAMELESS]
-        # Those that become workers get no task, either, before a row without them is durable.
+        # If such an entry becomes a worker's, the worker gets no task until a row without the entry
+        # is durable.
         self._handover = frozenset([worker.info.worker_id for worker in handover] + nameless)
         for worker in handover:
             self.scheduler.workers[worker.info.worker_id].in_handover = True
         grace_period = self.scheduler.grace_period
         is_over = grace_period.is_over(self.context.clock.seconds())
-        # What this leader does not know of the workers yet, the next one must not take for known.
+        # The next leader must not take as known what this leader does not know of the workers yet.
         is_known = is_over or grace_period.is_known
         missing = [] if is_over else sorted(grace_period.missing)
         return LeaderRow(
@@ -205,83 +209,87 @@
         )
 
     @inlineCallbacks
-    def _repeat(self, conditions, writes, snapshot):
-        """Make a transaction until it is known what became of it.
+    def _commit_until_settled(self, conditions, writes, snapshot):
+        """Repeat a transaction until its outcome is known.
 
-        One without an answer may have been done. Made again under the same condition it is done
-        once: if the row has moved on and still has our name, the first one did it.
+        A transaction without an answer may have been committed. Repeated under the same condition
+        it takes effect only once: if the row has changed and still names this instance, an earlier
+        attempt was committed.
         """
-        unsure = False
+        may_be_committed = False
         clock = self.context.clock
         while not self.stopped:
             began = clock.seconds()
             commit = self.context.store.commit(conditions, writes, timeout=LONGEST_WRITE_S)
             writing = PendingResult(commit)
-            row = yield self._watch(writing)
+            row = yield self._wait_for_answer(writing)
             if row is not None:
-                self._refused(row, snapshot, True)
+                self._leader_row_changed(row, snapshot, True)
                 return
             if not writing.is_known:
-                unsure = True
+                may_be_committed = True
                 continue
             try:
                 version = writing.get()
             except PreconditionError as exc:
-                self._answered()
+                self._store_answered()
                 rows = {(row.table, row.key): row for row in exc.details["rows"]}
-                self._refused(rows.get((LEADER_TABLE, LEADER_KEY)), snapshot, unsure)
+                self._leader_row_changed(
+                    rows.get((LEADER_TABLE, LEADER_KEY)), snapshot, may_be_committed
+                )
                 return
             except PlatformError as exc:
-                unsure = unsure or not isinstance(exc, PlatformRefusedError)
+                may_be_committed = may_be_committed or not isinstance(exc, PlatformRefusedError)
                 row = yield self._read_row()
-                if self._has_moved(row):
-                    self._refused(row, snapshot, unsure)
+                if self._has_changed(row):
+                    self._leader_row_changed(row, snapshot, may_be_committed)
                     return
-                yield self._sleep(jitter(self.context.random_state, AGAIN_S))
+                yield self._sleep(jitter(self.context.random_state, RETRY_DELAY_S))
                 continue
-            self._answered()
+            self._store_answered()
             answer_s = clock.seconds() - began
             self.context.store_health.answer_s = answer_s
-            self._doubt_s = answer_timeout(answer_s)
+            self._answer_timeout_s = answer_timeout(answer_s)
             self.on_confirmed(began)
             self.scheduler.grace_period.row_written(version, began)
-            self._done(snapshot, version)
+            self._committed(snapshot, version)
             return
 
     @inlineCallbacks
-    def _watch(self, writing):
-        """Wait for the answer to a transaction; return the leader's row if that shows its fate.
+    def _wait_for_answer(self, writing):
+        """Wait for the answer to a transaction; return the leader's row if it shows the outcome.
 
-        While the answer is out the row is read: a store that does not reach this instance is found
-        in 0.6 s so, and one that is only slow is not given the same transaction twice. One that
-        answers again after an outage has lost the answer; then the transaction is given up.
+        While the answer is pending the row is read. This detects in 0.6 s a store that this
+        instance cannot reach, and a store that is only slow does not get the same transaction
+        twice. When the store answers again after an outage, the answer is lost; the wait then ends
+        without an outcome.
         """
         while not self.stopped:
-            yield writing.wait(self.context.clock, self._doubt_s + self._late_s)
+            yield writing.wait(self.context.clock, self._answer_timeout_s + self._extra_wait_s)
             if writing.is_known:
                 return None
-            was_away = self.reach.is_bad
+            was_unreachable = self.own_store_health.is_bad
             row = yield self._read_row()
-            if self._has_moved(row):
+            if self._has_changed(row):
                 return row
-            if row is not None and was_away:
+            if row is not None and was_unreachable:
                 return None
         return None
 
     @property
-    def _late_s(self):
-        """How much later answers may be for want of processor here. Unit: seconds."""
+    def _extra_wait_s(self):
+        """How late answers may be because this process is short of processor. Unit: seconds."""
         return LAG_TIMES * self.context.lag.lag_s
 
-    def _has_moved(self, row):
+    def _has_changed(self, row):
         return row is not None and row.version != self._row_version
 
     @inlineCallbacks
     def _read_row(self):
-        """Read the leader's row; return None when that fails.
+        """Read the leader's row; return None if the read fails.
 
-        Writes whose answers are lost and a store that does not reach this instance look alike; only
-        in the second case another leader would do better.
+        Without the read, writes whose answers are lost look the same as a store that this instance
+        cannot reach. Only in the second case would another leader do better.
         """
         began = self.context.clock.seconds()
         try:
@@ -289,22 +297,22 @@
                 LEADER_TABLE,
                 PART,
                 LEADER_KEY,
-                timeout=max(READ_TIMEOUT_S, self._doubt_s) + self._late_s,
+                timeout=max(READ_TIMEOUT_S, self._answer_timeout_s) + self._extra_wait_s,
             )
         except PlatformError:
-            self.reach.bad()
+            self.own_store_health.bad()
             self.context.store_health.bad()
             return None
-        self._answered()
+        self._store_answered()
         if row is not None and row.version == self._row_version:
             self.on_confirmed(began)
         return row
 
-    def _answered(self):
-        self.reach.good()
+    def _store_answered(self):
+        self.own_store_health.good()
         self.context.store_health.good()
 
-    def _done(self, snapshot, version):
+    def _committed(self, snapshot, version):
         self.n_commits += 1
         self._row_version = version
         self.scheduler.note_handover(self._handover)
@@ -313,43 +321,43 @@
         for job, change, _ in snapshot:
             if job.changed_at is not None:
                 self.context.meters.timed("record", now - job.changed_at)
-            # A job that ended while this was on its way is not durable by it.
+            # If a job ended while the transaction was in flight, its end is not durable yet.
             if self.scheduler.recorded(job.job_id, change, now):
-                self._written.discard(job.job_id)
+                self._progress_job_ids.discard(job.job_id)
                 ended.append(job)
         if not self.stopped:
             self.on_recorded(ended)
 
-    def _refused(self, leader_row, snapshot, unsure):
-        """Take the leader's row as it is found: the last write did it, or another leader."""
+    def _leader_row_changed(self, leader_row, snapshot, may_be_committed):
+        """Handle a changed leader's row: written by an earlier attempt or by another leader."""
         holder = None
         if leader_row is not None and leader_row.value:
             holder = decode(leader_row.value, LeaderRow, error=PlatformError)
         if holder is None or holder.incarnation != self.context.incarnation:
             self.stopped = True
             self.on_deposed()
-        elif unsure:
-            self._done(snapshot, leader_row.version)
+        elif may_be_committed:
+            self._committed(snapshot, leader_row.version)
         else:
             self._row_version = leader_row.version
 
     def _writes(self, job):
         job_id = job.job_id
         if not job.is_ended:
-            self._written.add(job_id)
+            self._progress_job_ids.add(job_id)
             return [_progress_write(job)]
         writes = [ended_write(job_id, job.state, self.context.wall_clock())]
-        if job_id in self._written:
+        if job_id in self._progress_job_ids:
             writes.append(write(PROGRESS, job_id, None))
         return writes
 
 
 def _progress_write(job):
-    """Return the write of a job's progress.
+    """Return the write of a job's progress, without its checkpoints if the row would be too large.
 
-    2,200 checkpoints fill a row. One over its size was refused for ever, and with it all that the
-    leader records. Left out they cost the next leader the work since their tasks began;
-    what is done or has failed, which decides what may run, is kept.
+    A row holds 2,200 checkpoints. A record over the size of a row was refused forever, and with it
+    everything that the leader records. Without the checkpoints the next leader loses the work since
+    the tasks began; done tasks and failures, which decide what may run, are kept.
     """
     record = job.to_record()
     item = write(PROGRESS, job.job_id, record)
@@ -360,5 +368,5 @@
 
 
 def answer_timeout(answer_s):
-    """Return how long a transaction is waited for when the last answer took `answer_s`."""
-    return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_ANSWERS * answer_s))
+    """Return how long to wait for a transaction's answer if the last took `answer_s`."""
+    return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * answer_s))
--- a/anvilflow/cell/_registry.py
+++ b/anvilflow/cell/_registry.py
@@ -1,17 +1,17 @@
-"""What a leader makes of the entries in the workers' registry."""
+"""Decoding of the entries in the workers' registry."""
 
 from ..exceptions import PlatformError
 from ..platform import decode_worker
 
 
 def is_worker_entry(row, config):
-    """Whether an entry can be read and is of a service that is configured.
+    """Whether an entry can be decoded and belongs to a configured service.
 
     Parameters
     ----------
     row : Row
     config : CellConfig or None
-        None: any service may be.
+        If None, any service counts as configured.
     """
     if row.value is None:
         return False
@@ -23,11 +23,11 @@
 
 
 class Registry:
-    """Reads entries; puts those aside that name no worker.
+    """Decodes registry entries and sets aside those that name no worker.
 
-    Other programs write there, too: fields are missing or of another type, or the bytes cannot be
-    read. Held like a worker, such an entry would keep a new leader waiting for the leases of
-    nobody.
+    Other programs write to the registry, too: fields are missing or of another type, or the bytes
+    cannot be decoded. Treated like a worker, such an entry would make a new leader wait for leases
+    that no worker has.
 
     Parameters
     ----------
@@ -38,45 +38,46 @@
     def __init__(self, *, log, scheduler):
         self.log = log
         self.scheduler = scheduler
-        self._aside = {}
+        self._ignored_rows = {}
 
     @property
-    def rows_aside(self):
-        """The entries that name no worker, to be read again when the configuration changes."""
-        return list(self._aside.values())
+    def ignored_rows(self):
+        """Entries that name no worker, to be read again when the configuration changes."""
+        return list(self._ignored_rows.values())
 
     def read(self, row):
-        """Return the :class:`WorkerInfo` of an entry, or None when it names no worker."""
+        """Return the :class:`WorkerInfo` of an entry, or None if the entry names no worker."""
         try:
             info = decode_worker(row.key, row.value)
         except PlatformError as exc:
-            return self._put_aside(row, str(exc))
+            return self._ignore(row, str(exc))
         if not self._is_used(info.service):
-            return self._put_aside(row, f"no queue has the service {info.service!r}")
-        if self._aside.pop(row.key, None) is not None:
+            return self._ignore(row, f"no queue has the service {info.service!r}")
+        if self._ignored_rows.pop(row.key, None) is not None:
             self.log.info("worker's entry understood again", worker=row.key)
         return info
 
     def removed(self, key):
-        """Note that an entry is gone."""
-        self._aside.pop(key, None)
+        """Note that an entry has been removed."""
+        self._ignored_rows.pop(key, None)
         self.scheduler.nameless.discard(key)
 
     def _is_used(self, service):
-        """Whether tasks may run on a worker of the service: of a removed queue they run to the end.
+        """Whether tasks may run on a worker of the service.
 
-        What such a queue has running would be started twice by a leader that did not look.
+        Tasks of a removed queue run to their end. A leader that ignored the workers of such a
+        queue would start these tasks a second time.
         """
         scheduler = self.scheduler
         if scheduler.config is None or scheduler.config.names_service(service):
             return True
         return any(job.queue.service == service for job in scheduler.jobs.values())
 
-    def _put_aside(self, row, why):
-        # Once: the other writer may repeat it each second.
-        if row.key not in self._aside:
+    def _ignore(self, row, why):
+        # Logged once per entry: the other program may write it again each second.
+        if row.key not in self._ignored_rows:
             self.log.warning("worker's entry not understood", worker=row.key, error=why)
-        self._aside[row.key] = row
+        self._ignored_rows[row.key] = row
         if row.key not in self.scheduler.workers:
             self.scheduler.nameless.add(row.key)
         return None
--- a/anvilflow/cell/_standby_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -7,7 +7,7 @@
 from ..runtime import Part
 from ._job_store import read_jobs
 from ._leader_eligibility import can_lead
-from ._leader_state import StoredState, find_missing, gather, readings_at_once
+from ._leader_state import StoredState, find_missing, gather, max_concurrent_reads
 from ._registry import is_worker_entry
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
@@ -141,7 +141,7 @@
             )
             for name, table in tables.items()
         ]
-        changes = yield gather(reads, readings_at_once(self.context.settings.link_mbps, 0))
+        changes = yield gather(reads, max_concurrent_reads(self.context.settings.link_mbps, 0))
         for table, (rows, version) in zip(tables.values(), changes, strict=True):
             table.changed(rows, version)
 
--- a/anvilflow/cell/_tables.py
+++ b/anvilflow/cell/_tables.py
@@ -1,4 +1,7 @@
-"""Our own rows in the store: one part, so that a transaction can fence any of them."""
+"""Tables of the cell in the store.
+
+The leader's row and all rows that it fences lie in one part, so that a transaction covers them.
+"""
 
 from msgspec import UNSET, Struct, structs
 
@@ -6,40 +9,41 @@
 from ..platform import RowCondition, RowWrite
 from ..utils import encode
 
-#: The part of the leader's row and of all rows that it fences: what it records of jobs.
+#: Part of the leader's row and of all rows that it fences: the records of jobs.
 PART = "cell"
 
-#: Accepted jobs, and marks of those that an entry cancelled; payloads of jobs, where their rows
-#: leave them out; progress; final states. Rows of jobs
-#: lie in many parts: a part carries out its transactions one after another, each as long as the
-#: store is slow, and at sixty times its usual 3 ms one part takes five a second.
+#: Tables of accepted jobs, with marks of those that a gateway cancelled; of payloads that the rows
+#: of jobs leave out; of progress; of final states. Rows of jobs lie in many parts, because a part
+#: carries out its transactions one after another: in a store that takes sixty times its usual 3 ms,
+#: one part completes five a second.
 JOBS = "jobs"
 PAYLOADS = "payloads"
 PROGRESS = "progress"
 ENDED = "ended"
 
-#: Ends the key of a cancelled job's mark.
+#: Suffix of the key of a cancelled job's mark.
 CANCEL_MARK = ".cancel"
 
-#: Largest value that a row holds, as the platform's settings give it. Unit: bytes.
+#: Largest value of a row, as given by the platform's settings. Unit: bytes.
 MAX_ROW_BYTES = 65_536
 
-#: The row of the leader, and the key it lies under.
+#: Table and key of the leader's row.
 LEADER_TABLE = "home"
 LEADER_KEY = "home"
 
-#: Key, in the same table, of what a leader writes while it loads.
+#: Key, in the same table, of the row that a leader writes while it loads.
 LOADING_KEY = "loading"
 
 
 class LeaderRow(Struct, kw_only=True):
-    """Who is the leader; written anew with each of its transactions, which fences them all.
-
-    `handover` names what runs on workers that the next leader cannot ask, or would not know of.
-    `registry_version` says up to where the leader has followed the registry; `n_workers` how many
-    it holds; `missing` are workers that had left it when this leader began and have not been seen
-    since. `nameless` are entries of the registry that name no worker, and did not while it was the
-    leader. `n_loads` counts the claims in a row after which no leader has begun.
+    """The leader's identity and handover; written by each of its transactions, to fence them.
+
+    `handover` lists runs on workers that the next leader cannot reach or would not know of.
+    `registry_version` is the version up to which the leader has followed the registry; `n_workers`
+    is the number of its workers; `missing` are workers that had left the registry when this leader
+    began and have not registered since. `nameless` are registry entries that name no worker and
+    have named none while this instance was the leader. `n_loads` counts the consecutive claims
+    after which no leader has begun.
     """
 
     holder: str
@@ -55,10 +59,10 @@
 
 
 class JobRow(Struct, kw_only=True):
-    """An accepted job, with its queue as configured when it was accepted, and by which version.
+    """An accepted job, with its queue and the configuration version at the time of acceptance.
 
-    Of a job that has ended the row may have no steps any more, see :func:`short_row`. `entry` names
-    the instance that keeps the payload, where that has a row of its own.
+    The row of an ended job may have no steps, see :func:`short_row`. `entry` names the gateway that
+    keeps the payload, if the payload has a row of its own.
     """
 
     spec: JobSpec
@@ -68,15 +72,16 @@
 
 
 def has_payload(spec):
-    """Whether a job's payload is in its spec."""
+    """Whether a job's spec includes the payload."""
     return spec.payload is not UNSET
 
 
 def without_payload(value):
-    """Return a job's row without the payload: what decisions need.
+    """Return a job's row without the payload, which scheduling does not need.
 
-    Instances of releases before rows were split require the payload, and skip such a row; taken for
-    an empty one, it would have them start tasks with another payload than the client's.
+    The payload is left unset, not empty. Releases from before the rows were split require it and
+    skip such a row; with an empty payload they would start tasks with another payload than the
+    client's.
     """
     spec = structs.replace(value.spec, payload=UNSET)
     return JobRow(
@@ -87,7 +92,7 @@
 def job_writes(value):
     """Return the writes of an accepted job, to be made in one transaction.
 
-    The payload gets a row of its own where the job's row names an instance that keeps it.
+    The payload gets a row of its own if the job's row names a gateway that keeps it.
     """
     job_id = value.spec.job_id
     part = job_part(job_id)
@@ -100,19 +105,19 @@
 
 
 def short_row(job):
-    """Return the row of a job that has ended: that it was accepted, and for which queue."""
+    """Return the short row of an ended job: its id and its queue, without payload and steps."""
     spec = JobSpec(job_id=job.job_id, queue=job.spec.queue, payload="", steps=())
     return JobRow(spec=spec, queue=job.queue)
 
 
-#: Parts of the table of jobs. With the store a hundred times as slow each takes 3.3 jobs a second:
-#: sixteen were full at a burst of 45 a second, and the store refused what came. A new leader reads
-#: them all, in 0.03 s.
+#: Number of parts of the jobs table. In a store a hundred times as slow as usual each part takes
+#: 3.3 jobs a second: sixteen parts were full in a burst of 45 jobs a second, and the store refused
+#: further jobs. A new leader reads all parts, in 0.03 s.
 N_JOB_PARTS = 32
 
 
 def job_part(job_id):
-    """Return the part of a job's row, by the first digits of its random id."""
+    """Return the part of a job's row, chosen by the first digits of its random id."""
     return _part_name(int(job_id[:2], 16) % N_JOB_PARTS)
 
 
@@ -120,17 +125,17 @@
     return f"jobs-{number:02x}"
 
 
-#: All parts of the table of jobs.
+#: All parts of the jobs table.
 JOB_PARTS = tuple(_part_name(number) for number in range(N_JOB_PARTS))
 
 
 def condition(table, key, version, *, part=PART):
-    """Return the condition that a row of the cell has a version."""
+    """Return the condition that a row of the cell has the given version."""
     return RowCondition(table=table, part=part, key=key, version=version)
 
 
 def write(table, key, value, *, part=PART):
-    """Return the write of a row of the cell; None removes it."""
+    """Return the write of a row of the cell; a value of None removes the row."""
     body = None if value is None else encode(value)
     return RowWrite(table=table, part=part, key=key, value=body)
 
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -225,7 +225,7 @@
     The mark in the store is read by the next leader when it begins. Not read, the job would go on.
     """
     if not safeguard:
-        monkeypatch.setattr(_job_intake.JobIntake, "take", lambda self, row: [])
+        monkeypatch.setattr(_job_intake.JobIntake, "process_row", lambda self, row: [])
     cell = make_cell(n_instances=3, n_workers=2)
     cell.submit(cell.other(), JOB, STEP, spec=LASTING)
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -73,8 +73,8 @@
     """Each of its records between a successor's reading and claim had the claim refused."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "CLAIM_TRIES", 1)
-        monkeypatch.setattr(_recorder, "LEAVING_GATHER_S", 0.0)
-        monkeypatch.setattr(_recorder, "GATHER_S", 0.0)
+        monkeypatch.setattr(_recorder, "LEAVING_COMMIT_INTERVAL_S", 0.0)
+        monkeypatch.setattr(_recorder, "MIN_COMMIT_INTERVAL_S", 0.0)
     cell = make_cell(n_instances=5, n_workers=8, sizes=lambda task, payload: (0.05, "done", 500))
     cell.store_faults.slow_s = 0.02
     for number in range(40):
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -1,12 +1,10 @@
-"""What the leader and entries write in one transaction and in one row.
+"""Tests of the size limits of the store's calls and rows.
 
-The store takes 1 MB in a call. Records of jobs grow with their tasks and checkpoints: 27 bytes for
-each task that has one. Where many large jobs changed at the same time the transaction was refused,
-and made again for ever, the same one: no end of any job was recorded any more, and no caller heard
-that a job was completed.
-
-Evidence. Found by asking what counts jobs and not bytes; 600 tasks with checkpoints make a record
-of 17,320 bytes, and 45 such records 1.04 MB on the wire.
+The store accepts calls of up to 1 MB. Records of jobs grow with their tasks and checkpoints: 27
+bytes for each task that has one. When many large jobs changed at the same time, the transaction was
+refused and the same one repeated forever: no end of a job was recorded any more, and no caller
+learned that a job was completed. 600 tasks with checkpoints make a record of 17,320 bytes, and 45
+such records take 1.04 MB on the wire.
 """
 
 import pytest
@@ -19,14 +17,14 @@
 
 from ._helpers import JOB, make_cell
 
-#: Largest call that the store takes. Unit: bytes.
+#: Largest call that the store accepts. Unit: bytes.
 MAX_CALL_BYTES = 1_000_000
 
-#: Largest value of a row that it takes. Unit: bytes.
+#: Largest value of a row that the store accepts. Unit: bytes.
 MAX_ROW_BYTES = 65_536
 
-#: A job's checkpoints. Unit: bytes.
-N_PADDING = 40_000
+#: Size of a job's checkpoints. Unit: bytes.
+N_CHECKPOINT_BYTES = 40_000
 
 
 def _limit_calls(monkeypatch, store):
@@ -40,27 +38,30 @@
     monkeypatch.setattr(store, "handle", handle)
 
 
-def _large(to_record, n_padding=N_PADDING):
+def _large(to_record, n_checkpoint_bytes=N_CHECKPOINT_BYTES):
     def make_large_record(job):
         record = to_record(job)
-        record.checkpoints["0.0.9"] = "x" * n_padding
+        record.checkpoints["0.0.9"] = "x" * n_checkpoint_bytes
         return record
 
     return make_large_record
 
 
 def _sizes(task, _):
-    """The first task of each job takes a second, the others a minute."""
+    """Return 1 s as the duration of each job's first task, and 60 s for the others."""
     return (1.0 if task.endswith(".0") else 60.0), "done", 1000
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_records_of_large_jobs_do_not_exceed_a_call(monkeypatch, safeguard):
-    """A task of each of thirty large jobs ends in the same moment; a small job ends after them."""
+    """Guards against an oversized transaction when tasks of thirty large jobs end together.
+
+    The end of a small job after them must still be recorded.
+    """
     if not safeguard:
         monkeypatch.setattr(_recorder, "BYTES_PER_COMMIT", 10_000_000)
     monkeypatch.setattr(JobRun, "to_record", _large(JobRun.to_record))
-    # All tasks begin, and so end, in the same moment.
+    # All tasks begin, and so end, at the same time.
     monkeypatch.setattr(_send_window, "FIRST_LIMIT", 100)
     cell = make_cell(n_workers=8, sizes=_sizes)
     _limit_calls(monkeypatch, cell.store)
@@ -74,10 +75,10 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_record_that_exceeds_a_row_does_not_stop_all_records(monkeypatch, safeguard):
+def test_record_that_exceeds_a_row_does_not_block_other_records(monkeypatch, safeguard):
     """A job of 2,500 tasks with checkpoints has a record of 74 kB; a row holds 64 kB.
 
-    Its transaction was refused and made again for ever, and with it all that the leader records.
+    Its transaction was refused and repeated forever, which blocked all records of the leader.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "MAX_ROW_BYTES", 10_000_000)
@@ -105,11 +106,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_that_exceeds_a_row_is_refused_at_once(monkeypatch, safeguard):
-    """A client sends a job of 1,400 steps, whose row would have over 64 kB.
+def test_job_that_exceeds_a_row_is_refused_immediately(monkeypatch, safeguard):
+    """A client submits a job of 1,400 steps, whose row would exceed 64 kB.
 
-    The store refused it, which was taken for a write in doubt: the client was told to send it
-    again, and its instance took the store for away until its next look.
+    The store's refusal was taken for a write with unknown outcome: the client was told to retry,
+    and the gateway treated the store as unavailable until its next check.
     """
     if not safeguard:
         monkeypatch.setattr(_gateway, "MAX_ROW_BYTES", 10_000_000)
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""How soon callers are served again when a leader has changed or an outage is over."""
+"""Tests of the time until clients are served again after a take-over or an outage."""
 
 import pytest
 from logbook import TestHandler as LogRecorder
@@ -10,17 +10,17 @@
 
 from ._helpers import JOB, STEP, make_cell
 
-#: As many instances as the larger deployments have.
-N_MANY = 30
+#: Number of instances in the larger deployments.
+N_INSTANCES = 30
 
 
-def test_all_instances_find_a_new_leader_at_once():
-    """The leader of a large cell is killed; one instance claims, the others look for it.
+def test_all_instances_find_a_new_leader_without_delay():
+    """The leader of a large cell is killed; one instance claims, the others look up the new leader.
 
-    Only a claim has to wait for its turn. If looking waited, too, the last of thirty instances
-    would refuse what only a leader can answer for 1.8 s.
+    Only claims wait for their turn. If lookups waited as well, the last of thirty instances would
+    refuse calls that need the leader for 1.8 s.
     """
-    cell = make_cell(n_instances=N_MANY)
+    cell = make_cell(n_instances=N_INSTANCES)
     cell.kill(cell.leader())
     cell.advance(0.6)
     leaders = cell.leaders()
@@ -30,12 +30,12 @@
     assert found == followers
 
 
-def test_no_two_instances_claim_when_all_look_at_once():
-    """All instances of a large cell see the leader's end in the same moment.
+def test_one_instance_claims_when_all_detect_the_leaders_end_together():
+    """All instances of a large cell detect the leader's end at the same time.
 
-    Each reads the row at once; the claims keep their order, so that one leader follows, not three.
+    Each reads the leader's row immediately. Without an order of the claims three leaders followed.
     """
-    cell = make_cell(n_instances=N_MANY)
+    cell = make_cell(n_instances=N_INSTANCES)
     term = cell.store.value("home", "home", part="cell")["term"]
     cell.kill(cell.leader())
     cell.advance(3.0)
@@ -46,11 +46,11 @@
     ("kind", "safeguard"), [("silent", True), ("silent", False), ("status", True)]
 )
 def test_jobs_are_accepted_right_after_an_outage(monkeypatch, kind, safeguard):
-    """The store is away for four seconds; a client sends its job 0.25 s after the return.
+    """The store is unavailable for four seconds; clients submit jobs 0.25 s after its return.
 
-    Without a watch on the store an instance only learns of the return by its next call: the
-    feeds wait for seconds for answers that will not come, and until then it refuses jobs. After
-    an outage with refusals the leader, which tries all the time, takes jobs even without the watch.
+    Without the store probe an instance detects the return only by its next call: its feeds wait
+    seconds for answers that will not come, and it refuses jobs until then. After an outage with
+    refusals the leader, which retries all the time, accepts jobs even without the probe.
     """
     if not safeguard:
         monkeypatch.setattr(_store_probe, "PROBE_S", 3600.0)
@@ -69,12 +69,12 @@
     assert cell.check() == []
 
 
-def test_watch_asks_only_while_the_store_is_in_doubt():
-    """A store that answers is not watched: its calls are counted and paid for."""
+def test_probe_reads_only_while_the_store_may_be_unavailable():
+    """Guards against probes of a store that answers: its calls are counted and paid for."""
     cell = make_cell(n_instances=3)
     before = cell.store.n_reads
     cell.advance(5.0)
-    quiet = cell.store.n_reads - before
+    n_quiet_reads = cell.store.n_reads - before
     cell.store_faults.status = 503
     cell.advance(1.0)
     cell.submit(cell.other(), JOB, STEP)
@@ -82,18 +82,18 @@
     cell.advance(1.0)
     before = cell.store.n_reads
     cell.advance(5.0)
-    assert cell.store.n_reads - before <= quiet + 5
+    assert cell.store.n_reads - before <= n_quiet_reads + 5
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_slow_store_is_not_filled_with_second_writes(monkeypatch, safeguard):
-    """The store takes half a second for each write; a client submits a job and hears 200.
+def test_slow_store_does_not_get_repeated_writes(monkeypatch, safeguard):
+    """The store takes half a second for each write; a client submits a job and gets 200.
 
-    The entry looks for the row while it waits. Writing a second time, it and then the leader filled
-    the part that the job lies in, and the store refused what came after.
+    The gateway reads the row while it waits. When it wrote again instead, and then the leader too,
+    they filled the job's part of the store, and the store refused later writes.
     """
     if not safeguard:
-        monkeypatch.setattr(_gateway, "store_job_surely", _write_again_and_again)
+        monkeypatch.setattr(_gateway, "store_job_surely", _write_repeatedly)
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.store_faults.slow_s = 0.5
@@ -112,7 +112,7 @@
 
 
 @inlineCallbacks
-def _write_again_and_again(store, value, *, clock, doubt_s):
+def _write_repeatedly(store, value, *, clock, doubt_s):
     for _ in range(3):
         try:
             version = yield store_job(store, value, timeout=doubt_s)
@@ -122,10 +122,10 @@
     return 0
 
 
-def test_refused_reading_of_a_job_is_no_refusal_of_the_job():
-    """The store takes a job late and without an answer, and refuses to be read meanwhile.
+def test_refused_read_of_a_job_is_not_reported_as_a_refused_job():
+    """The store carries out a job's write late and without an answer, and refuses reads meanwhile.
 
-    The client must not hear "not accepted": the job runs when the write takes effect.
+    The client must not get "not accepted", because the job runs once the write takes effect.
     """
     cell = make_cell(n_instances=3)
     name = cell.other()
@@ -143,11 +143,11 @@
     assert len(cell.spans) == 4
 
 
-def test_gateway_that_is_refused_does_not_make_the_leader_give_up():
-    """The store refuses the jobs of the leader's own clients, and takes what the leader writes.
+def test_refused_writes_of_a_gateway_do_not_depose_the_leader():
+    """The store refuses jobs submitted to the leader's instance, and accepts the leader's records.
 
-    Such a refusal says that a part is full of jobs. Taken for an outage, it made the leader offer
-    its place, and three leaders followed each other in three seconds.
+    Such a refusal means that a part is full of jobs. When it was taken for an outage, the leader
+    asked for a take-over, and three leaders followed each other in three seconds.
     """
     cell = make_cell(n_instances=4)
     leader = cell.leader()
@@ -158,11 +158,11 @@
     assert cell.store.value("home", "home", part="cell")["term"] == term
 
 
-def test_instance_that_starts_beside_a_dark_leader_finds_its_successor_at_once():
-    """The leader's machine is dark; all others start, and one of them claims within 0.4 s.
+def test_instance_started_beside_an_unreachable_leader_finds_the_next_without_delay():
+    """The leader's machine is off; all other instances start, and one claims within 0.4 s.
 
-    An instance that waited for its connection to the dark one first would find the successor
-    0.4 s later, and what its clients submit meanwhile.
+    An instance that first waited for its connection to the old leader would find the successor
+    0.4 s later, and calls of its clients would wait as long.
     """
     cell = make_cell(n_instances=4)
     leader = cell.leader()
@@ -179,10 +179,10 @@
     assert [name for name in followers if cell.daemons[name].context.links.leader_link] == followers
 
 
-def test_an_outage_is_logged_once_by_each_instance():
-    """The store is away for ten seconds; each instance says that it is gone, and that it is back.
+def test_outage_is_logged_once_by_each_instance():
+    """The store is unavailable for ten seconds; each instance logs the outage and its end once.
 
-    A line with each try, four a second, hides what else happens in an outage.
+    A line for each retry, four a second, would hide other events of the outage.
     """
     cell = make_cell(n_instances=3)
     with LogRecorder() as log:
@@ -190,20 +190,20 @@
         cell.advance(10.0)
         cell.store_faults.clear()
         cell.advance(2.0)
-    said = [record.msg for record in log.records]
-    assert said.count("configuration not read") == 3
-    assert said.count("store answers again") in (1, 2, 3)
+    messages = [record.msg for record in log.records]
+    assert messages.count("configuration not read") == 3
+    assert messages.count("store answers again") in (1, 2, 3)
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_gives_a_slow_store_each_transaction_once(monkeypatch, safeguard):
-    """Each call to the store takes 0.5 s from one moment to the next, while a job ends.
+def test_leader_sends_each_transaction_to_a_slow_store_once(monkeypatch, safeguard):
+    """Each call to the store suddenly takes 0.5 s while a job ends.
 
-    The leader reads its row while the answer is out, and the transaction goes on waiting. Sent
-    again after 0.3 s it stood in the same queue twice, with claims and records behind it.
+    The leader reads its row while the transaction is pending. When it sent the transaction again
+    after 0.3 s, the transaction was queued twice and delayed the claims and records behind it.
     """
     if not safeguard:
-        monkeypatch.setattr(_recorder.Recorder, "_watch", _wait_once)
+        monkeypatch.setattr(_recorder.Recorder, "_wait_for_answer", _wait_without_reading)
     cell = make_cell(n_instances=3)
     cell.submit("a0", JOB, STEP)
     cell.advance(0.5)
@@ -217,13 +217,13 @@
 
 
 @inlineCallbacks
-def _wait_once(self, writing):
-    yield writing.wait(self.context.clock, self._doubt_s)
+def _wait_without_reading(self, writing):
+    yield writing.wait(self.context.clock, self._answer_timeout_s)
     return None
 
 
 def test_claims_in_a_slow_store_keep_their_order():
-    """The leader dies while each call takes 0.3 s: one instance claims, and no other after it."""
+    """The leader fails while each call takes 0.3 s; only one instance may claim."""
     cell = make_cell(n_instances=8)
     term = cell.store.value("home", "home", part="cell")["term"]
     cell.store_faults.slow_s = 0.3
@@ -232,39 +232,39 @@
     cell.kill(cell.leader())
     cell.advance(2.2)
     assert cell.store.value("home", "home", part="cell")["term"] == term + 1
-    # The claim, and what the new leader writes: no crowd of others.
+    # The claim and the new leader's writes, but no claims of other instances.
     assert cell.store.n_writes - before <= 6
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 @pytest.mark.parametrize("kind", ["silent", "status"])
 def test_instances_cut_off_from_the_store_find_the_next_leader(monkeypatch, kind, safeguard):
-    """The leader and one more instance do not reach the store for some seconds; the others do.
+    """The leader and one more instance cannot reach the store for some seconds; the others can.
 
-    The next leader's name stands in the store, which those two cannot read. They refused all jobs
-    until the store answered them again; a client came back a second later, too late for a quick
-    job. Now they ask the successors that the last leader has named.
+    These two cannot read the next leader's name in the store. They used to refuse all jobs until
+    the store answered them again; clients retried a second later, too late for a short job. They
+    ask the successors that the last leader named instead.
     """
     if not safeguard:
         monkeypatch.setattr(_links, "MAX_ADDRESSES", 0)
     cell = make_cell(n_instances=5)
     former = cell.leader()
-    cut = [former, next(name for name in cell.daemons if name != former)]
+    cut_off = [former, next(name for name in cell.daemons if name != former)]
     setattr(cell.store_faults, kind, {"silent": True, "status": 503}[kind])
-    cell.store_faults.only = set(cut)
+    cell.store_faults.only = set(cut_off)
     cell.advance(2.5)
-    assert cell.leader() not in cut
-    answers = [cell.submit(name, f"00000000000002{n:02x}", STEP) for n, name in enumerate(cut)]
+    assert cell.leader() not in cut_off
+    answers = [cell.submit(name, f"00000000000002{n:02x}", STEP) for n, name in enumerate(cut_off)]
     cell.advance(0.1)
     statuses = [answer[0][0] if answer else None for answer in answers]
     assert (statuses == [200, 200]) is safeguard
 
 
-def test_accepting_does_not_try_a_silent_store_again_and_again():
-    """An instance is cut off from the store for seconds; jobs come to it, one each 0.4 s.
+def test_accepting_jobs_does_not_keep_retrying_an_unresponsive_store():
+    """A gateway is cut off from the store for seconds and receives a job every 0.4 s.
 
-    The first waits for the store's answer. Tried again by the first job of each second, the store
-    kept it and what came meanwhile waiting for 0.9 s; 7 quick jobs of a day were late by it.
+    Only the first job waits for the store. When the first job of each second tried the store
+    again, it and the jobs after it waited for 0.9 s, and 7 short jobs of a scenario were late.
     """
     cell = make_cell(n_instances=4)
     name = cell.other()
@@ -272,10 +272,10 @@
     cell.store_faults.only = {name}
     cell.submit(name, "0000000000000300", STEP)
     cell.advance(1.5)
-    waits = []
+    accepted = []
     for number in range(12):
         answers = cell.submit(name, f"00000000000003{number + 1:02x}", STEP)
         cell.advance(0.1)
-        waits.append(bool(answers) and answers[0][0] == 200)
+        accepted.append(bool(answers) and answers[0][0] == 200)
         cell.advance(0.3)
-    assert all(waits)
+    assert all(accepted)
--- a/anvilflow/cell/tests/test_registry.py
+++ b/anvilflow/cell/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Another program writes into the workers' registry; leaders change meanwhile."""
+"""Tests that entries of other programs in the workers' registry do no harm."""
 
 import pytest
 from logbook import TestHandler as LogRecorder
@@ -8,9 +8,9 @@
 
 from ._helpers import JOB, STEP, make_cell
 
-#: What another program may leave under a key: bytes, fields missing, a state or a service that does
-#: not exist.
-BROKEN = [
+#: Entries as another program may write them: other data, missing fields, a state or service that
+#: does not exist.
+INVALID_ENTRIES = [
     {"hello": 1},
     {"service": "desk", "address": "w0:1"},
     {"state": "resting"},
@@ -20,15 +20,18 @@
 
 
 def overwrite(cell, key, change):
-    """Let another program write an entry."""
+    """Write a registry entry as another program would."""
     entry = cell.workers["i-0"].entry()
     is_near = len(change) == 1 and "hello" not in change
     cell.store.put("servers", key, {**entry, **change} if is_near else change)
 
 
-@pytest.mark.parametrize("change", BROKEN)
-def test_entry_that_names_no_worker_is_said_once(change):
-    """Another program repeats its entry each second: one line, no session, no work."""
+@pytest.mark.parametrize("change", INVALID_ENTRIES)
+def test_entry_that_names_no_worker_is_logged_once(change):
+    """Guards against a log line for each write of an entry that another program repeats.
+
+    The entry gets no session and no work either.
+    """
     cell = make_cell()
     with LogRecorder().applicationbound() as log:
         for _ in range(5):
@@ -41,14 +44,14 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_entry_that_names_no_worker_does_not_delay_a_take_over(monkeypatch, safeguard):
-    """Another program writes an entry again and again, also just before the leader dies.
+    """Another program rewrites an entry, also just before the leader fails.
 
-    The next leader finds in the registry's history that the entry has changed. The leader's row
-    says that it never was a worker's. Without that its tasks might run on, nobody knows where, and
-    the waiting tasks of all jobs wait until every lease has ended, 3.8 s.
+    The next leader finds the change in the registry's history; the former leader's row shows that
+    the entry was never a worker's. Without that, tasks might still run on an unknown worker, and
+    the pending tasks of all jobs would wait until every lease has ended, 3.8 s.
     """
     if not safeguard:
-        monkeypatch.setattr(_registry.Registry, "read", _forget_nameless)
+        monkeypatch.setattr(_registry.Registry, "read", _read_and_clear_nameless)
     cell = make_cell(n_instances=3, n_workers=3)
     overwrite(cell, "stranger", {"hello": 0})
     cell.advance(1.0)
@@ -61,7 +64,7 @@
     assert (len(cell.runs_of(f"{JOB}.0.1.0")) == 1) is safeguard
 
 
-def _forget_nameless(self, row):
+def _read_and_clear_nameless(self, row):
     info = READ(self, row)
     self.scheduler.nameless.clear()
     return info
@@ -70,13 +73,13 @@
 READ = _registry.Registry.read
 
 
-@pytest.mark.parametrize("change", BROKEN)
+@pytest.mark.parametrize("change", INVALID_ENTRIES)
 @pytest.mark.parametrize("with_take_over", [False, True])
 def test_tasks_on_a_worker_whose_entry_is_overwritten_are_kept(change, with_take_over):
-    """A busy worker's entry is overwritten; then, perhaps, the leader dies.
+    """Guards against losing or repeating tasks on a busy worker whose entry is overwritten.
 
-    Its tasks run to their ends, once each. The leader holds the worker on, and names it for the
-    next.
+    The leader keeps renewing the worker's leases and lists the worker in its handover, in case the
+    leader fails as well.
     """
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit(cell.other(), JOB, {"count": 6, "cpu": 4000}, spec="4.0 done 4000")
@@ -93,12 +96,12 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_entry_overwritten_as_the_leader_dies_hides_no_tasks(monkeypatch, safeguard):
-    """A worker's entry is overwritten at the moment when the leader dies: no leader has seen it.
+def test_entry_overwritten_as_the_leader_fails_hides_no_tasks(monkeypatch, safeguard):
+    """A worker's entry is overwritten when the leader fails, so that no leader has seen the change.
 
-    The next leader cannot know where the worker is. It finds in the registry's history that an
-    entry has changed to what names nobody, and waits for that worker's leases before it starts what
-    may run there. Taken for an entry like any other, the task ran a second time beside the first.
+    The next leader does not have the worker's address. It finds the change in the registry's
+    history and waits for the worker's leases before it starts tasks that may run there. When it
+    treated the entry like any other, the task ran a second time beside the first run.
     """
     if not safeguard:
         monkeypatch.setattr(
@@ -113,8 +116,8 @@
     assert (cell.check() == []) is safeguard
 
 
-def test_worker_is_used_again_from_the_moment_its_entry_is_whole():
-    """The only worker's entry is overwritten: jobs wait. Its own next report brings it back."""
+def test_worker_is_used_again_once_its_entry_is_restored():
+    """Jobs wait while the only worker's entry is overwritten, until the worker writes it again."""
     cell = make_cell(n_workers=1)
     overwrite(cell, "i-0", {"state": "resting"})
     cell.advance(0.5)
@@ -126,8 +129,8 @@
     assert len(cell.spans) == 4
 
 
-def test_worker_of_a_service_that_is_configured_later_is_found():
-    """A worker registers before the operator names its service: it is used when that is named."""
+def test_worker_of_a_service_that_is_configured_later_is_used():
+    """Guards against ignoring a worker that registered before its service was configured."""
     cell = PlatformCell(n_workers=1)
     early = cell.add_worker("i-9", "w9:1")
     cell.store.put("servers", "i-9", {**early.entry(), "service": "new"})
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -275,7 +275,7 @@
     loaded, no answer in time" 0.8 s after its claim, and 121 jobs lost.
     """
     if not safeguard:
-        monkeypatch.setattr(_leader, "readings_at_once", lambda link_mbps, n_failed: 35)
+        monkeypatch.setattr(_leader, "max_concurrent_reads", lambda link_mbps, n_failed: 35)
     cell = _cell_with_large_rows()
     for name, daemon in cell.daemons.items():
         daemon.context.settings.link_mbps = NARROW_MBPS
@@ -290,7 +290,7 @@
 def test_leader_loads_over_a_link_that_is_narrower_than_it_is_said_to_be(monkeypatch, safeguard):
     """The same with settings that tell of fast links: the next tries read less at once."""
     if not safeguard:
-        monkeypatch.setattr(_leader_state, "NEXT_TRY_SHARE", 1)
+        monkeypatch.setattr(_leader_state, "RETRY_READS_DIVISOR", 1)
     cell = _cell_with_large_rows()
     for name in cell.daemons:
         cell.wire.slow_link(name, NARROW)
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -1,4 +1,4 @@
-"""Tasks that are done while nobody can record it, and leaders that change meanwhile."""
+"""Tests that tasks whose ends are not recorded yet are not run again after a take-over."""
 
 import pytest
 from twisted.internet.defer import succeed
@@ -9,18 +9,18 @@
 from ._helpers import JOB, make_cell
 
 
-@pytest.mark.parametrize("n_more_homes", [0, 2])
+@pytest.mark.parametrize("n_more_leaders", [0, 2])
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_tasks_that_ended_in_an_outage_are_not_started_by_a_leader_that_knows_no_worker(
-    monkeypatch, safeguard, n_more_homes
+def test_tasks_that_ended_in_an_outage_are_not_restarted_by_a_leader_without_workers(
+    monkeypatch, safeguard, n_more_leaders
 ):
-    """The store is away for nine seconds: two tasks end, which the leader hears and cannot record.
+    """Guards against a second run of tasks that ended while the store was unavailable.
 
-    It goes on renewing the workers' leases while all their entries lapse, until it dies. The store
-    returns; for the next leader the registry is empty, so that no worker seems to be unheard. When
-    a first worker registers again, idle, the tasks are started on it; those with the ends register
-    a second later. Evidence: the users' record, in which the entries lapse, and the second run is
-    stopped as soon as the first worker is heard.
+    In an outage of nine seconds two tasks end, which the leader cannot record. It renews the
+    workers' leases until it fails; meanwhile all registry entries lapse. The next leader finds an
+    empty registry, so no worker seems to be unconfirmed. An idle worker registers first and was
+    given the tasks; the workers with the ends register a second later. In the users' record of the
+    fault the second run was stopped as soon as the worker with the first run had responded.
     """
     if not safeguard:
         monkeypatch.setattr(_leader_state, "find_missing", lambda *args: succeed(frozenset()))
@@ -36,7 +36,7 @@
     cell.kill(cell.leader())
     cell.store_faults.clear()
     cell.advance(0.7)
-    for _ in range(n_more_homes):
+    for _ in range(n_more_leaders):
         cell.kill(cell.leader())
         cell.advance(0.7)
     for worker_id in sorted(cell.workers, key=busy.__contains__):
@@ -44,29 +44,29 @@
         cell.advance(0.8 if worker_id not in busy else 0.0)
     cell.advance(4.0)
     assert (cell.check() == []) is safeguard
-    assert cell.store.value("home", "home", part="cell")["term"] == 2 + n_more_homes
+    assert cell.store.value("home", "home", part="cell")["term"] == 2 + n_more_leaders
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_that_is_done_before_the_next_leader_hears_of_its_job_is_not_started_again(
+def test_task_that_ends_before_the_next_leader_learns_of_its_job_is_not_restarted(
     monkeypatch, safeguard
 ):
-    """A job is accepted while leaders change: the former leader starts it, the next has read
-    the table before.
+    """A job is accepted during a take-over, after the next leader has read the jobs table.
 
-    The task is done at once. The next leader hears of the end, then of the job. Were the worker
-    told to forget the end of an unknown job, the task would be started a second time.
+    The former leader starts the task, which ends immediately. The next leader receives the end
+    before the job. If it acknowledged the end of an unknown job, the worker would drop the end and
+    the task would run a second time.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_take_up", lambda self, job, now: [])
     cell = make_cell(n_instances=3, n_workers=3)
     cell.advance(0.5)
     leader, gateway = cell.leader(), cell.other()
-    _wait_for_a_reading_of_jobs(cell)
+    _advance_until_jobs_are_read(cell)
     cell.network.silence(gateway, leader)
     cell.submit(gateway, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(0.05)
-    _start_as_a_former_leader_did(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
+    _start_as_a_former_leader(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
     cell.advance(0.2)
     scheduler = cell.daemons[leader].supervisor.part("home")._scheduler
     assert cell.spans[0].how == "done" and not scheduler.jobs
@@ -77,21 +77,21 @@
     assert cell.workers["i-0"].finished == []
 
 
-def _wait_for_a_reading_of_jobs(cell):
+def _advance_until_jobs_are_read(cell):
     scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     before = scheduler._jobs_known_at
     _advance_until(cell, lambda: scheduler._jobs_known_at != before)
 
 
 def _advance_until(cell, condition):
-    """Let time pass until something is so, ten seconds at the most."""
+    """Advance the clock until `condition` holds, for ten seconds at the most."""
     until = cell.clock.seconds() + 10.0
     while not condition():
         assert cell.clock.seconds() < until
         cell.advance(0.005)
 
 
-def _start_as_a_former_leader_did(cell, worker_id, task, payload):
+def _start_as_a_former_leader(cell, worker_id, task, payload):
     worker = cell.workers[worker_id]
     calls = cell.daemons[cell.leader()].supervisor.part("home")._fleet._sessions[worker_id].calls
     start = StartRun(
@@ -101,18 +101,18 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_accepted_while_leaders_change_is_not_started_beside_its_run_on_an_unheard_worker(
+def test_job_accepted_during_a_take_over_is_not_started_beside_its_run_on_an_unconfirmed_worker(
     monkeypatch, safeguard
 ):
-    """The store leaves the leader alone, another instance claims, and then a job is accepted.
+    """The leader loses the store, another instance claims, and then a job is accepted.
 
-    The entry tells the former leader, which may order for some tenths of a second yet: it starts
-    the job, also on a worker that the new leader does not reach. The new leader waited until the
-    former one ordered nothing more, and started the tasks elsewhere while they ran. Evidence: spans
-    of the first run of this test, 1 at 3.155 s and again as 1 at 3.88 s.
+    The gateway notifies the former leader, which may send commands for some tenths of a second
+    more. It starts the job, also on a worker that the new leader cannot reach. The new leader
+    waited only until the former leader's commands had expired, and started the tasks elsewhere
+    while they ran: without the safeguard, task 1 began at 3.155 s and again at 3.88 s.
     """
     if not safeguard:
-        monkeypatch.setattr(GracePeriod, "may_have_begun", _only_what_was_there)
+        monkeypatch.setattr(GracePeriod, "may_have_begun", _has_not_begun)
     cell = make_cell(n_instances=4, n_workers=4)
     cell.advance(0.5)
     former = cell.leader()
@@ -132,19 +132,19 @@
     assert cell.state(gateway, JOB) == "completed"
 
 
-def _only_what_was_there(self, version):
+def _has_not_begun(self, version):
     return False
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_accepted_after_the_former_leaders_commands_waits_for_no_unheard_worker(
+def test_job_accepted_after_the_former_leaders_commands_waits_for_no_unconfirmed_worker(
     monkeypatch, safeguard
 ):
-    """The leader and a worker die together; 0.9 s after the take-over a job is accepted.
+    """The leader and a worker fail together; 0.9 s after the take-over a job is accepted.
 
-    No former leader can have started it, so that it waits for nobody: it starts within 0.05 s. Told
-    apart by the time at which the next leader hears of jobs, or not at all, it would wait until the
-    worker's leases have ended.
+    No former leader can have started the job, so it starts within 0.05 s. If such jobs were
+    recognized by the time at which the next leader receives them, or not at all, the job would wait
+    until the worker's leases have ended.
     """
     if not safeguard:
         monkeypatch.setattr(GracePeriod, "row_written", lambda self, version, sent_at: None)
@@ -162,11 +162,11 @@
     assert (max(span.began_at for span in cell.spans) < accepted_at + 0.05) is safeguard
 
 
-def test_cancelling_is_not_answered_by_the_record_of_a_task_that_was_on_its_way():
+def test_cancel_is_not_answered_by_the_record_of_a_task_that_was_in_flight():
     """The store takes 0.3 s; a task's end is being recorded when a client cancels the job.
 
-    The record that was on its way is done, and it says nothing of the cancelling. It was taken for
-    the record of the job's end: the client heard 200, and a leader that died then had lost it.
+    The record in flight does not include the cancellation. When it was taken for the record of the
+    job's end, the client got 200, and the cancellation was lost if the leader failed then.
     """
     cell = make_cell(n_instances=3, n_workers=3)
     leader = cell.leader()
