--- a/anvilflow/cell/_follower.py
+++ b/anvilflow/cell/_follower.py
@@ -63,7 +63,9 @@
                 else:
                     rows, version = yield self._changes(version)
             except RevisionGoneError:
-                self.log.info("history gone, reading anew", table=self.table, after=version)
+                self.log.info(
+                    "table history lost, reading the whole table", table=self.table, after=version
+                )
                 version = None
                 continue
             except PlatformError as exc:
--- a/anvilflow/cell/_leader_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -113,7 +113,7 @@
 
 @inlineCallbacks
 def find_missing(store, former, config=None):
-    """Return the ids of workers that have left the registry since `former`, or None if unknown.
+    """Return the ids of workers that left the registry after `former` was written, if known.
 
     Registry entries lapse while the store is unavailable, and the leader that renews the workers'
     leases cannot record this. The tasks keep running, on workers that the next leader would not
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -33,7 +33,8 @@
 def test_one_instance_claims_when_all_detect_the_leaders_end_together():
     """All instances of a large cell detect the leader's end at the same time.
 
-    Each reads the leader's row immediately. Without an order of the claims three leaders followed.
+    Each reads the leader's row immediately. The claims keep their order, so that one new leader
+    follows and not three.
     """
     cell = make_cell(n_instances=N_INSTANCES)
     term = cell.store.value("home", "home", part="cell")["term"]
