--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -60,7 +60,7 @@
 
 #: Bounds of the time without an answer after which the leader reads its row to learn whether a
 #: transaction was committed; between them the time is a multiple of the last answer time. The read
-#: has a timeout of its own. Both detect a leader that cannot reach the store, in 0.8 s. Unit:
+#: has a timeout of its own. Together they detect in 0.8 s a leader that cannot reach the store. Unit:
 #: seconds.
 MIN_TIMEOUT_S = 0.3
 MAX_TIMEOUT_S = 1.0
@@ -186,8 +186,8 @@
     def _make_row(self):
         handover = make_handover(self.scheduler, self.context.clock.seconds())
         nameless = sorted(self.scheduler.nameless)[:MAX_NAMELESS]
-        # If such an entry becomes a worker's, the worker gets no task until a row without the entry
-        # is durable.
+        # If an entry in `nameless` becomes a worker's, the worker gets no task until a row without
+        # the entry is durable.
         self._handover = frozenset([worker.info.worker_id for worker in handover] + nameless)
         for worker in handover:
             self.scheduler.workers[worker.info.worker_id].in_handover = True
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -20,7 +20,8 @@
     workers' leases until it fails; meanwhile all registry entries lapse. The next leader finds an
     empty registry, so no worker seems to be unconfirmed. An idle worker registers first and was
     given the tasks; the workers with the ends register a second later. In the users' record of the
-    fault the second run was stopped as soon as the worker with the first run had responded.
+    fault the entries lapse too, and the second run is stopped as soon as the worker with the first
+    run responds.
     """
     if not safeguard:
         monkeypatch.setattr(_leader_state, "find_missing", lambda *args: succeed(frozenset()))
@@ -109,7 +110,7 @@
     The gateway notifies the former leader, which may send commands for some tenths of a second
     more. It starts the job, also on a worker that the new leader cannot reach. The new leader
     waited only until the former leader's commands had expired, and started the tasks elsewhere
-    while they ran: without the safeguard, task 1 began at 3.155 s and again at 3.88 s.
+    while they ran: in the first run of this test, task 1 began at 3.155 s and again at 3.88 s.
     """
     if not safeguard:
         monkeypatch.setattr(GracePeriod, "may_have_begun", _has_not_begun)
