--- a/anvilflow/cell/_leader_calls.py
+++ b/anvilflow/cell/_leader_calls.py
@@ -35,7 +35,7 @@
     def close(self):
         """Answer all pending calls: this instance is no longer the leader."""
         self.closed = True
-        cancelling, self._pending_cancels = self._cancelling, {}
+        cancelling, self._pending_cancels = self._pending_cancels, {}
         for done in [done for each in cancelling.values() for done in each]:
             done.callback(_reply("not home"))
 
--- a/anvilflow/cell/_leader_state.py
+++ b/anvilflow/cell/_leader_state.py
@@ -78,7 +78,7 @@
         The former leader's row; None if there was none.
     config : CellConfig, default=None
         Names the services whose registry entries count; None if those of any service do.
-    at_once : int
+    max_concurrent : int
         Largest number of concurrent reads.
     """
     reads = [
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -60,8 +60,8 @@
 
 #: Bounds of the time without an answer after which the leader reads its row to learn whether a
 #: transaction was committed; between them the time is a multiple of the last answer time. The read
-#: has a timeout of its own. Together they detect in 0.8 s a leader that cannot reach the store. Unit:
-#: seconds.
+#: has a timeout of its own. Together they detect a leader that cannot reach the store in 0.8 s.
+#: Unit: seconds.
 MIN_TIMEOUT_S = 0.3
 MAX_TIMEOUT_S = 1.0
 TIMEOUT_FACTOR = 4
