--- a/anvilflow/cell/_follower.py
+++ b/anvilflow/cell/_follower.py
@@ -25,7 +25,7 @@
     table : str
     read : callable
         Reads the table whole; returns a Deferred of its rows and version.
-    take : callable
+    on_rows : callable
         Called with the rows, whether they are the whole table (rows not among them are removed),
         the version up to which the table is now known, and the time of the request. Unit: seconds.
     wait_s, pause_s : float, default=0.0
