--- a/anvilflow/cell/_config.py
+++ b/anvilflow/cell/_config.py
@@ -128,7 +128,7 @@
                 return
             is_first = self._away_since is None
             self._note_failed(exc)
-            self.context.store_health.bad()
+            self.context.store_health.record_failure()
             # The version stays: what has changed since is all that has to come over the link. An
             # answer that was lost says nothing about the store, and took its time already.
             if not (is_first and isinstance(exc, PlatformUnavailableError)):
@@ -138,7 +138,7 @@
             self._reading = None
             self._is_read_anew = False
         self._note_read()
-        self.context.store_health.good()
+        self.context.store_health.record_answer()
         self._take_rows(rows, "read" if self._version is None else "feed")
         self._version = version
 
--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an instance share."""
+"""State and events shared by the parts of an instance."""
 
 from random import Random
 
@@ -11,33 +11,33 @@
 from ._pending_jobs import PendingJobs
 from ._start_delays import StartDelays
 
-#: Period in which each instance measures how late it is: that of a leader's beats. Unit: seconds.
+#: Period in which each instance measures its lag, and the leader sends heartbeats. Unit: seconds.
 LAG_PERIOD_S = 0.2
 
 
 class ConfigChanged(Struct, kw_only=True):
-    """A newer configuration is in force in this process."""
+    """Event: a newer configuration is in force in this process."""
 
     version: int
 
 
 class LeaderChanged(Struct, kw_only=True):
-    """The cell has another leader, as this instance sees it."""
+    """Event: this instance has connected to a leader, usually a new one."""
 
 
 class Claimed(Struct, kw_only=True):
-    """This instance has become the leader.
+    """Event: this instance has become the leader.
 
     Parameters
     ----------
     token : int
-        Version of the leader's row that the claim got: unique, and higher than every one before.
+        Version of the leader's row after the claim: unique, and higher than every earlier token.
     term : int
-        How many leaders there were, this one included.
+        Number of leaders so far, including this one.
     row_version : int
-        Version of the row at present.
+        Current version of the row.
     former : LeaderRow or None
-        What the former leader said of itself and of its workers.
+        Row of the former leader, with its report on its workers.
     """
 
     token: int
@@ -47,21 +47,21 @@
 
 
 class Deposed(Struct, kw_only=True):
-    """Another instance has become the leader."""
+    """Event: another instance has become the leader in place of this one."""
 
 
 class StoreRecovered(Struct, kw_only=True):
-    """The store answers this instance again, after `away_s` in which calls had no answer."""
+    """Event: the store answers this instance again, after `away_s` without an answer."""
 
     away_s: float
 
 
 class Leaving(Struct, kw_only=True):
-    """This instance is about to stop."""
+    """Event: this instance is about to stop."""
 
 
 class CellContext:
-    """Shared by the parts of one process; each field has one part that changes it.
+    """State shared by the parts of one process; each field is changed by one part only.
 
     Parameters
     ----------
@@ -71,20 +71,19 @@
         Time of day. Unit: seconds.
     bus : Bus
     network : object
-        Listens and dials between instances.
+        Accepts and opens connections between instances.
     store : StoreClient
     advice : AdviceClient or None
     make_worker : callable
-        Returns the :class:`WorkerCalls` of a worker's info and a token.
+        Returns the :class:`WorkerCalls` for a worker's info and a token.
     random_state : random.Random, default=None
-    count_bytes : callable, default=None
-        Returns the bytes that calls have sent and received so far, by service.
+    count_bytes : callable, default=dict
+        Returns the bytes sent and received by calls so far, by service.
 
     Notes
     -----
-    `successors` are the instances that come next as the leader, in their order. `uses_relays` tells
-    whether the leader has its orders to workers carried out by other instances, as far as this one
-    knows.
+    `successors` are the names of the instances next in line to lead, in order. `uses_relays` is
+    whether the leader sends its commands to workers through relays, as far as this instance knows.
     """
 
     def __init__(
@@ -116,7 +115,7 @@
         self.config_at = clock.seconds()
         self.leaving = False
         self.store_health = StoreHealth(
-            clock=clock, on_answers=lambda away_s: bus.post(StoreRecovered(away_s=away_s))
+            clock=clock, on_recovery=lambda away_s: bus.post(StoreRecovered(away_s=away_s))
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
         self.waiting = PendingJobs(context=self)
@@ -143,11 +142,11 @@
 
     @property
     def up_s(self):
-        """Time since the process began. Unit: seconds."""
+        """Time since the process started. Unit: seconds."""
         return self.clock.seconds() - self.started_at
 
     def bytes_by_service(self):
-        """Return the bytes sent and received so far, by calls and over links to instances."""
+        """Return the bytes sent and received so far by service, with links to instances as one."""
         counts = dict(self._count_call_bytes())
         if self.links is not None:
             counts["instances"] = (self.links.n_bytes_out, self.links.n_bytes_in)
@@ -159,40 +158,40 @@
 
 
 class StoreHealth:
-    """Whether the store answers this instance, and how long its last answer took.
+    """Tracks whether the store answers this instance, and how long its last answer took.
 
     Parameters
     ----------
     clock : IReactorTime
-    on_answers : callable, default=None
-        Called with the length of an outage when it is over. Unit: seconds.
+    on_recovery : callable, default=None
+        Called with the duration of an outage when it is over. Unit: seconds.
     """
 
-    def __init__(self, *, clock, on_answers=None):
+    def __init__(self, *, clock, on_recovery=None):
         self.clock = clock
-        self._on_answers = on_answers
-        self.bad_since = None
-        self.bad_at = None
+        self._on_recovery = on_recovery
+        self.failing_since = None
+        self.failed_at = None
         self.answer_s = 0.0
 
-    def good(self):
-        """Note an answer."""
-        away_s, self.bad_since = self.bad_for_s, None
-        if away_s > 0 and self._on_answers is not None:
-            self._on_answers(away_s)
+    def record_answer(self):
+        """Record a call that was answered."""
+        away_s, self.failing_since = self.failing_for_s, None
+        if away_s > 0 and self._on_recovery is not None:
+            self._on_recovery(away_s)
 
-    def bad(self):
-        """Note a call without one."""
-        self.bad_at = self.clock.seconds()
-        if self.bad_since is None:
-            self.bad_since = self.bad_at
+    def record_failure(self):
+        """Record a call without an answer."""
+        self.failed_at = self.clock.seconds()
+        if self.failing_since is None:
+            self.failing_since = self.failed_at
 
     @property
-    def is_bad(self):
+    def is_failing(self):
         """Whether the last call had no answer."""
-        return self.bad_since is not None
+        return self.failing_since is not None
 
     @property
-    def bad_for_s(self):
-        """Time since the first of the calls without an answer, 0 when the last had one."""
-        return 0.0 if self.bad_since is None else self.clock.seconds() - self.bad_since
+    def failing_for_s(self):
+        """Time since the first unanswered call, 0 if the last call was answered. Unit: seconds."""
+        return 0.0 if self.failing_since is None else self.clock.seconds() - self.failing_since
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -133,7 +133,7 @@
         """
         if not self.is_confirmed():
             return RENEWAL_WAIT_S / 2
-        return SHORT_RENEWAL_WAIT_S if self.context.lag.is_short else RENEWAL_WAIT_S
+        return SHORT_RENEWAL_WAIT_S if self.context.lag.is_short_of_cpu else RENEWAL_WAIT_S
 
     # Orders
 
--- a/anvilflow/cell/_garbage_collector.py
+++ b/anvilflow/cell/_garbage_collector.py
@@ -71,13 +71,13 @@
     @inlineCallbacks
     def sweep(self):
         """Shorten and remove what is due; what is not removed is tried again in the next sweep."""
-        if not self.context.store_health.is_bad:
+        if not self.context.store_health.is_failing:
             yield self._shorten_rows()
         due = self._take_due()
         try:
             yield self._remove([job_id for _, job_id in due])
         except PlatformError:
-            self.context.store_health.bad()
+            self.context.store_health.record_failure()
             self._ended.extendleft(reversed(due))
 
     @inlineCallbacks
@@ -94,7 +94,7 @@
                 except PreconditionError:
                     continue
                 except PlatformError:
-                    self.context.store_health.bad()
+                    self.context.store_health.record_failure()
                     return
 
     def _take_due(self):
--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -121,7 +121,7 @@
         if context.config is None or context.leaving:
             return False
         alone = context.links is not None and not context.links.reaches_home
-        return not (alone and context.store_health.bad_for_s > CUT_OFF_S)
+        return not (alone and context.store_health.failing_for_s > CUT_OFF_S)
 
     def answered(self, verb, status):
         """Count an answer to a client."""
@@ -170,16 +170,16 @@
         # A write without an answer leaves its client in doubt, and in an outage every one would be
         # such. That the store answers again is seen within 0.15 s, without a client's request:
         # tried again by one of them each second, every other one waited for 0.9 s.
-        if not self.context.store_health.is_bad:
+        if not self.context.store_health.is_failing:
             try:
                 version = yield self._store(value)
             except PlatformRefusedError:
-                self.context.store_health.bad()
+                self.context.store_health.record_failure()
             except SlowWriteError as exc:
                 self.log.info("job's row not written in time", job=job_id)
                 raise UnknownOutcomeError("the job may or may not be accepted") from exc
             except PlatformError as exc:
-                self.context.store_health.bad()
+                self.context.store_health.record_failure()
                 self.log.info("job's row unanswered", job=job_id, error=str(exc))
                 unsure = True
             else:
@@ -209,7 +209,7 @@
         accepted already is not refused: that it has not run would not be true.
         """
         wait_s = self.context.start_waits.wait_s(queue.priority)
-        if wait_s <= _objective_s(spec, queue) or self.context.store_health.is_bad:
+        if wait_s <= _objective_s(spec, queue) or self.context.store_health.is_failing:
             return
         try:
             state, _ = yield read_stored_job(self.context.store, spec.job_id)
@@ -232,12 +232,12 @@
             doubt_s=answer_timeout(health.answer_s),
         )
         health.answer_s = self.now - began
-        health.good()
+        health.record_answer()
         self.context.meters.timed("accept", self.now - began)
         return version
 
     def _retry_after(self):
-        wait = self.context.store_health.bad_for_s * RETRY_AFTER_SHARE
+        wait = self.context.store_health.failing_for_s * RETRY_AFTER_SHARE
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
 
     def _notify_leader(self, value, version):
--- a/anvilflow/cell/_lag.py
+++ b/anvilflow/cell/_lag.py
@@ -1,27 +1,27 @@
-"""How late a process is: its own measure of being short of processor."""
+"""Measurement of the lag of a process, by which it detects that it is short of processor."""
 
-#: Longest lag that counts: what others allow for it stays bounded. Unit: seconds.
+#: Upper bound of the lag, so that the allowance of other instances stays bounded. Unit: seconds.
 MAX_LAG_S = 1.0
 
-#: Part of a lag that is left at the next measure. One of a second is under `SHORT_S` after 2 s.
-KEPT_SHARE = 0.8
+#: Factor by which a lag decays at each call. One of a second is below `SHORT_OF_CPU_S` after 2 s.
+LAG_DECAY = 0.8
 
-#: Lag from which the process is short of processor. A quota takes a tenth of a second away from a
-#: process that has enough on the whole. Unit: seconds.
-SHORT_S = 0.15
+#: Lag from which the process is short of processor. A CPU quota can take away a tenth of a second
+#: from a process that has enough processor time overall. Unit: seconds.
+SHORT_OF_CPU_S = 0.15
 
 
 class LagMeter:
-    """Compares when a periodic call came with when it was due.
+    """Measures how late a periodic call is.
 
-    A process with too little processor does all that it is asked to, late: heartbeats, renewals of
-    leases, answers that wait to be read. Seen from outside it looks dead, and each take-over costs
-    more processor than was missing. Its lag tells the two apart.
+    A process with too little processor time does all its work, but late: heartbeats, renewals of
+    leases, reading of answers. To other processes it seems to have failed, and each take-over costs
+    more processor time than was missing. The lag distinguishes the two cases.
 
     Parameters
     ----------
     period : float
-        Of the calls. Unit: seconds.
+        Period of the calls. Unit: seconds.
     """
 
     def __init__(self, *, period):
@@ -30,13 +30,13 @@
         self._called_at = None
 
     @property
-    def is_short(self):
+    def is_short_of_cpu(self):
         """Whether the process is short of processor."""
-        return self.lag_s >= SHORT_S
+        return self.lag_s >= SHORT_OF_CPU_S
 
-    def called(self, now):
-        """Note a call."""
+    def record_call(self, now):
+        """Record a call at `now` and update the lag."""
         if self._called_at is not None:
             late_s = now - self._called_at - self.period
-            self.lag_s = min(MAX_LAG_S, max(late_s, self.lag_s * KEPT_SHARE, 0.0))
+            self.lag_s = min(MAX_LAG_S, max(late_s, self.lag_s * LAG_DECAY, 0.0))
         self._called_at = now
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -87,7 +87,7 @@
         self.on(Claimed, self._begin)
         self.on(Deposed, lambda *_: self._end())
         self.on(ConfigChanged, self._config_changed)
-        self.on(Leaving, lambda *_: self._leader_heartbeat.tell())
+        self.on(Leaving, lambda *_: self._leader_heartbeat.send_heartbeat())
         self.every(LAG_PERIOD_S, self._leader_heartbeat.heartbeat_due)
         self.every(PLAN_S, self._plan_due)
         self.every(SWEEP_S, self._sweep, delay=SWEEP_S)
@@ -130,7 +130,7 @@
             context=self.context, claimed=claimed, on_deposed=self.deposed, on_error=self.fail_with
         )
         self._loading_heartbeat.start()
-        self._leader_heartbeat.tell()
+        self._leader_heartbeat.send_heartbeat()
         done = self._load(claimed)
         done.addErrback(self._load_failed, claimed)
         done.addErrback(self.fail_with)
@@ -213,7 +213,7 @@
             jobs=len(state.jobs),
             workers=len(state.workers),
         )
-        self._leader_heartbeat.tell()
+        self._leader_heartbeat.send_heartbeat()
         self._recorder.run().addErrback(self.fail_with)
         self._follow_all(state.jobs_version, state.workers_version)
 
@@ -307,7 +307,7 @@
     @property
     def is_store_unavailable(self):
         """Whether the store has not answered the leader's own calls for a while."""
-        return self._recorder is not None and self._recorder.reach.bad_for_s > STORE_BAD_S
+        return self._recorder is not None and self._recorder.reach.failing_for_s > STORE_BAD_S
 
     @property
     def is_loading(self):
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -1,16 +1,16 @@
-"""What the leader tells the other instances of itself."""
+"""Heartbeats that the leader sends to the other instances."""
 
 from ..peers.gen.ttypes import HomeBeat
 from ._leader_eligibility import should_yield
 from ._pending_jobs import PENDING_HEARTBEAT_S
 
-#: Least time for which a leader keeps its place before it gives way to a stronger instance: what
-#: its beginning costs is over by then. Unit: seconds.
+#: Least time for which an instance leads before it yields to one with more CPU capacity: the extra
+#: load of taking over has passed by then. Unit: seconds.
 MIN_LEADERSHIP_S = 3.0
 
 
 class LeaderHeartbeat:
-    """Tells that the leader lives, who should follow it, and whether one should now.
+    """Sends heartbeats with the leader's successors and whether one of them should take over.
 
     Parameters
     ----------
@@ -25,16 +25,16 @@
         self.context = context
         self.log = log
         self.leader = leader
-        self._counted_at = float("-inf")
+        self._full_heartbeat_at = float("-inf")
 
     def heartbeat(self):
-        """Return what the leader says of itself."""
+        """Return a heartbeat without the counts of pending jobs."""
         config = self.context.config
         links = self.context.links
         return HomeBeat(
             term=self.leader.term,
             config_version=config.version if config is not None else 0,
-            yielding=self._yields,
+            yielding=self._should_hand_over,
             successors=links.successors if links is not None else [],
             addresses=links.successor_addresses if links is not None else [],
             lag_ms=round(1000 * self.context.lag.lag_s),
@@ -43,7 +43,10 @@
         )
 
     def full_heartbeat(self):
-        """Return the same with what waits; kept here as well, for when another is the leader."""
+        """Return a heartbeat with the counts of pending jobs and the expected start delays.
+
+        Both are stored in the context as well, for the time after another instance becomes leader.
+        """
         waiting = self.leader.waiting()
         self.context.waiting.told(waiting)
         waits = self.leader.start_waits()
@@ -52,26 +55,26 @@
         heartbeat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
         heartbeat.waiting = waiting.counts
         heartbeat.jobs_version = waiting.version
-        self._counted_at = self.context.clock.seconds()
+        self._full_heartbeat_at = self.context.clock.seconds()
         return heartbeat
 
     def heartbeat_due(self):
-        """Measure how late this instance is, and tell."""
+        """Measure the lag of this process, and send a heartbeat."""
         lag = self.context.lag
-        was_short = lag.is_short
-        lag.called(self.context.clock.seconds())
-        if lag.is_short and not was_short:
+        was_short = lag.is_short_of_cpu
+        lag.record_call(self.context.clock.seconds())
+        if lag.is_short_of_cpu and not was_short:
             self.context.meters.count("short_of_processor")
             self.log.warning("short of processor", lag_s=round(lag.lag_s, 3))
         self.leader.measure_load()
-        self.tell()
+        self.send_heartbeat()
 
-    def tell(self):
-        """Tell all instances that are connected."""
+    def send_heartbeat(self):
+        """Send a heartbeat to all connected instances, with the pending jobs if they are due."""
         is_leader = self.context.leader is self.leader or self.leader.is_loading
         if not is_leader or self.context.links is None:
             return
-        is_due = self.context.clock.seconds() >= self._counted_at + PENDING_HEARTBEAT_S
+        is_due = self.context.clock.seconds() >= self._full_heartbeat_at + PENDING_HEARTBEAT_S
         heartbeat = (
             self.full_heartbeat() if is_due and not self.leader.is_loading else self.heartbeat()
         )
@@ -79,18 +82,18 @@
             link.send(heartbeat)
 
     @property
-    def _yields(self):
+    def _should_hand_over(self):
         """Whether another instance should take over."""
         is_away = self.leader.is_store_unavailable or self.leader.has_failed_loading
-        return self.context.leaving or is_away or self._gives_way
+        return self.context.leaving or is_away or self._should_yield_for_cpu
 
     @property
-    def _gives_way(self):
-        """Whether it is short of processor while a much stronger instance is connected."""
+    def _should_yield_for_cpu(self):
+        """Whether this instance is short of processor and a connected one has far more of it."""
         links = self.context.links
         loaded_at = self.leader.loaded_at
-        if loaded_at is None or links is None or not self.context.lag.is_short:
+        if loaded_at is None or links is None or not self.context.lag.is_short_of_cpu:
             return False
         if self.context.clock.seconds() - loaded_at < MIN_LEADERSHIP_S:
             return False
-        return should_yield(self.context.settings.cpu_milli, links.most_cpu_milli)
+        return should_yield(self.context.settings.cpu_milli, links.best_successor_cpu_milli)
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -1,4 +1,4 @@
-"""Which instance is the leader of the cell, and when another takes over."""
+"""Leader election of the cell: following the leader and claiming its row after a loss."""
 
 from twisted.internet.defer import gatherResults, inlineCallbacks
 from twisted.internet.task import deferLater
@@ -14,75 +14,82 @@
 from ._pending_result import PendingResult
 from ._tables import LEADER_KEY, LEADER_TABLE, PART, LeaderRow, condition, write
 
-#: Period of looking at the leader. Unit: seconds.
-LOOK_S = 0.1
+#: Period of the checks on the leader. Unit: seconds.
+CHECK_S = 0.1
 
-#: Silence of the leader after which it is suspected: two of its beats and their way. Shorter
-#: silences come from a busy processor: the tenth of a second that a quota can take away. Unit:
-#: seconds.
+#: Time without a heartbeat after which the leader is suspected: two heartbeat periods and their
+#: transmission. Shorter gaps come from a busy processor: a CPU quota can take away a tenth of a
+#: second. Unit: seconds.
 UNRESPONSIVE_S = 0.5
 
-#: Times the lag of which a leader tells that it is waited for beyond what any other one is. One
-#: with an eighth of a core fell behind in a burst and was taken for dead, and so was each after it.
+#: Factor on the lag that the leader reports: its heartbeat may be late by this multiple of the lag.
+#: Without this allowance a leader with an eighth of a core fell behind in a burst and was replaced,
+#: and so was each leader after it.
 LAG_TIMES = 3
 
-#: Least time between two readings of the leader's row after which a row that has not changed tells
-#: that its holder does not write: twice the period of its writes. Unit: seconds.
-STILL_S = 0.3
+#: Least time for which the leader's row has to stay unchanged before its holder counts as no longer
+#: writing: twice the period of the leader's writes. Unit: seconds.
+MIN_UNCHANGED_S = 0.3
 
-#: The same in readings of the row: where the store is slow the leader's writes take as much longer.
-STILL_READS = 3
+#: The same time as a multiple of the duration of a read of the row: where the store is slow, the
+#: leader's writes are slower, too.
+MIN_UNCHANGED_READS = 3
 
-#: Doublings of the time for which a row may stand still, at the most: one for each claim in a row
-#: after which no leader has begun. Where each leader is late as soon as it has read its tables, all
-#: of them took each other's place for as long as there was load.
+#: Maximum number of doublings of the time for which the row may stay unchanged: one for each
+#: consecutive claim after which no leader has begun to schedule. Without the doublings, where each
+#: leader was late as soon as it had read its tables, the instances deposed each other for as long
+#: as there was load.
 MAX_DOUBLINGS = 3
 
-#: Steps by which the successors hold back, so that the first one's claim is done before the next
-#: one begins: a claim takes one call of some 5 ms. Unit: seconds.
+#: Delay of a claim per rank among the successors, so that the claim of the first one is complete
+#: before the next one begins: a claim takes one call of some 5 ms. Unit: seconds.
 RANK_STEP_S = 0.06
 
-#: The same in readings of the row: where the store is slow a claim takes two of them, and claims of
-#: all instances at once would fill the part of the store that the leader itself writes to.
+#: The same delay as a multiple of the duration of a read of the row: where the store is slow, a
+#: claim takes as long as two reads, and simultaneous claims of all instances would overload the
+#: part of the store that the leader itself writes to.
 RANK_STEP_READS = 2
 
-#: How long an instance that bears a leader badly holds back where it does not know the order, as
-#: after the end of all instances: the others need a few tenths of a second more or less to start,
-#: also where the store is slow. Unit: seconds.
-WEAK_S = 0.48
+#: Additional delay of a claim by an instance that is not eligible to lead and not a known
+#: successor, as after a restart of all instances. The start times of the instances differ by a few
+#: tenths of a second, also where the store is slow. Unit: seconds.
+INELIGIBLE_DELAY_S = 0.48
 
-#: Steps that it holds back besides: the claims of the others take as long as the store is slow. Ten
-#: made callers wait for 11 s where all links were slow, and answers of the store took 0.4 s.
-WEAK_RANKS = 2
+#: Rank steps added to that delay: where the store is slow, the claims of the other instances take
+#: longer. With ten steps callers waited for 11 s where all links were slow and each answer of the
+#: store took 0.4 s.
+INELIGIBLE_DELAY_STEPS = 2
 
-#: Longest wait for the answer to a claim in readings of the row, and at the least. Unit: seconds.
-CLAIM_READS = 6
+#: Timeout of a claim, as a multiple of the duration of a read of the row, and the least timeout.
+#: Unit of the latter: seconds.
+CLAIM_TIMEOUT_READS = 6
 CLAIM_TIMEOUT_S = 0.8
 
-#: Claims in a row of the place of a leader that yields. It records ends until it is deposed, and
-#: each record between the reading of its row and the claim had the claim refused: the leader of a
-#: rolling restart kept its place for 3.6 s, until it stopped.
+#: Maximum number of consecutive attempts to claim from a leader that yields. Such a leader records
+#: ends of tasks until it is deposed, and each record between the read of its row and the claim
+#: causes the claim to be refused. Without further attempts the leader stayed in place for 3.6 s in
+#: a rolling restart, until it stopped.
 CLAIM_TRIES = 8
 
-#: Shorter waits than this are over: the clock does not tell them from none. Unit: seconds.
+#: Remaining waits shorter than this count as over: the clock cannot resolve them. Unit: seconds.
 _TICK_S = 1e-4
 
-#: Longest wait for a connection to the leader; it doubles with each that comes too late, since a
-#: leader that is late has the more to do the more often it is dialled. Unit: seconds.
-MAX_DIAL_S = 1.6
+#: Maximum timeout of a connection to the leader. The timeout doubles with each failed attempt,
+#: because every attempt adds work to a leader that is already late. Unit: seconds.
+MAX_DIAL_TIMEOUT_S = 1.6
 
-#: Wait before the store or an unreachable leader is tried again. Unit: seconds.
-AGAIN_S = 0.3
+#: Delay before the store or an unreachable leader is tried again. Unit: seconds.
+RETRY_S = 0.3
 
 
 class LeadershipPart(Part):
-    """Follows the leader, and claims its row when it is gone.
+    """Follows the leader, and claims the leader's row when the leader is lost.
 
-    Safety rests on the row and on the workers: every write of the leader is made on the condition
-    that the row is as it left it, and every worker refuses orders under a token lower than one it
-    has seen. When to claim is a guess, and a wrong one costs a take-over, no more. Two instances
-    that cannot see each other would take turns; therefore a leader that is not reached, but goes on
-    writing its row, is left alone.
+    Safety rests on the row and on the workers: every write of the leader is conditional on the row
+    being as the leader last wrote it, and every worker refuses commands with a token lower than one
+    it has seen. The time of a claim is only a guess: a wrong guess costs a take-over and no more.
+    Two instances that cannot reach each other would depose each other in turn; therefore a leader
+    that is unreachable but continues to write its row is not replaced.
     """
 
     prefix = "leadership"
@@ -91,30 +98,30 @@
         super().__init__(context=context)
         self.row = None
         self.row_version = 0
-        self._newest_version = 0
+        self._newest_row_version = 0
         self.is_leader = False
-        self._addresses = ()
+        self._successor_addresses = ()
         self._yielding = False
-        self._heard_at = 0.0
-        self._patience_s = 0.0
-        self._busy = False
-        self._read_s = 0.0
-        self._dial_s = DIAL_TIMEOUT_S
+        self._heartbeat_at = 0.0
+        self._lag_allowance_s = 0.0
+        self._is_checking = False
+        self._read_duration_s = 0.0
+        self._dial_timeout_s = DIAL_TIMEOUT_S
 
     def start(self):
-        """Look for the leader."""
+        """Start the periodic checks on the leader."""
         self.on(HomeBeat, self._heartbeat)
-        self.on(LeaderLinkLost, lambda *_: self._look())
+        self.on(LeaderLinkLost, lambda *_: self._check_if_due())
         self.on(Deposed, self._deposed)
-        self.every(LOOK_S, self._look)
+        self.every(CHECK_S, self._check_if_due)
 
-    # What the leader says
+    # Messages and events
 
     def _heartbeat(self, source, heartbeat):
-        self._heard_at = self.now
-        self._patience_s = LAG_TIMES * (heartbeat.lag_ms or 0) / 1000
+        self._heartbeat_at = self.now
+        self._lag_allowance_s = LAG_TIMES * (heartbeat.lag_ms or 0) / 1000
         self.context.successors = tuple(heartbeat.successors)
-        self._addresses = tuple(heartbeat.addresses or ())
+        self._successor_addresses = tuple(heartbeat.addresses or ())
         if heartbeat.yielding and not self._yielding:
             self.log.info("home yields", home=source, term=heartbeat.term)
         self._yielding = heartbeat.yielding
@@ -122,8 +129,8 @@
         if heartbeat.waiting is not None:
             waiting = PendingCounts(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
             self.context.waiting.told(waiting)
-            waits = heartbeat.start_waits or {}
-            self.context.start_waits.told({key: ms / 1000 for key, ms in waits.items()})
+            start_waits_ms = heartbeat.start_waits or {}
+            self.context.start_waits.told({key: ms / 1000 for key, ms in start_waits_ms.items()})
         config = self.context.config
         if config is None or heartbeat.config_version > config.version:
             self.context.config_part.hint(heartbeat.config_version)
@@ -131,79 +138,82 @@
     def _deposed(self, _, __):
         if self.is_leader:
             self.is_leader = False
-            self._addresses = tuple(self.context.links.successor_addresses)
+            self._successor_addresses = tuple(self.context.links.successor_addresses)
             self.log.warning("deposed", row_version=self.row_version)
-            self._look()
+            self._check_if_due()
 
-    # Looking
+    # Checks
 
-    def _look(self):
-        if self.is_leader or self._busy or self.context.leaving:
+    def _check_if_due(self):
+        if self.is_leader or self._is_checking or self.context.leaving:
             return
-        linked = self.context.links is not None and self.context.links.leader_link is not None
-        silent = self.now - self._heard_at
-        if linked and silent < UNRESPONSIVE_S + self._patience_s and not self._yielding:
+        is_linked = self.context.links is not None and self.context.links.leader_link is not None
+        silence_s = self.now - self._heartbeat_at
+        if is_linked and silence_s < UNRESPONSIVE_S + self._lag_allowance_s and not self._yielding:
             return
-        self._busy = True
-        done = self._check(linked)
+        self._is_checking = True
+        done = self._check_leader(is_linked)
         done.addErrback(lambda failure: failure.trap(PlatformError))
         done.addErrback(self.fail_with)
-        done.addBoth(self._checked)
+        done.addBoth(self._check_ended)
 
-    def _checked(self, _):
-        self._busy = False
+    def _check_ended(self, _):
+        self._is_checking = False
 
     @inlineCallbacks
-    def _check(self, linked):
+    def _check_leader(self, is_linked):
         """Find out whether there is a leader; claim when there is none.
 
-        Looking is not held back, only claiming: a leader that has just begun is found by all at
-        once.
+        Only claims are delayed, not checks, so that all instances find a new leader at once.
         """
         try:
             changed = yield self._read_row()
         except PlatformError as exc:
-            self.context.store_health.bad()
+            self.context.store_health.record_failure()
             self.log.info("home not looked up", error=str(exc))
             if not (yield self._ask_successors()):
-                yield self._sleep(jitter(self.context.random_state, AGAIN_S))
+                yield self._sleep(jitter(self.context.random_state, RETRY_S))
             return
         if self.row is None or (self._yielding and not changed):
             yield self._claim_in_turn("no home" if self.row is None else "home yields")
             return
-        # A connection that is open but silent says what a new one would only say after its time.
-        yield self._watch(None if linked and not changed else PendingResult(self._dial()))
+        # An open connection without heartbeats already shows what a new one would show only after
+        # its timeout.
+        yield self._watch_row(None if is_linked and not changed else PendingResult(self._dial()))
 
     @inlineCallbacks
     def _ask_successors(self):
         """Look for a leader among the successors of the last one; return whether there is one.
 
-        An instance that is cut off from the store alone cannot read who the leader is. Without this
-        it refused all jobs after a change of leaders, for as long as it was cut off: a client comes
-        back a second later, and 18 of 31 late quick jobs of a day had waited for that.
+        An instance that is cut off only from the store cannot read which instance is the leader.
+        Without this request it refused all jobs after a change of leader for as long as it was cut
+        off. A refused client retries a second later: 18 of 31 late quick jobs of a soak scenario
+        had waited for that.
         """
-        asked = [self.context.links.ask_for_leader(address) for address in self._addresses]
-        words = yield gatherResults(asked)
+        requests = [
+            self.context.links.ask_for_leader(address) for address in self._successor_addresses
+        ]
+        replies = yield gatherResults(requests)
         known_term = self.row.term if self.row is not None else 0
-        words = [word for word in words if word is not None]
+        replies = [reply for reply in replies if reply is not None]
         leaders = [
-            word
-            for word in words
-            if word.heartbeat.term >= known_term and not word.heartbeat.yielding
+            reply
+            for reply in replies
+            if reply.heartbeat.term >= known_term and not reply.heartbeat.yielding
         ]
-        leader = max(leaders, key=lambda word: word.heartbeat.term, default=None)
-        for word in words:
-            if word is not leader:
-                word.link.abort()
+        leader = max(leaders, key=lambda reply: reply.heartbeat.term, default=None)
+        for reply in replies:
+            if reply is not leader:
+                reply.link.abort()
         if leader is None or self.is_leader:
             return False
         self._follow(leader.link, leader.heartbeat.term)
         return True
 
     def _follow(self, link, term):
-        self._dial_s = DIAL_TIMEOUT_S
+        self._dial_timeout_s = DIAL_TIMEOUT_S
         self.context.links.follow_leader(link)
-        self._heard_at = self.now
+        self._heartbeat_at = self.now
         self._yielding = False
         self.log.info("home found", home=link.peer.instance, term=term)
         self.post(LeaderChanged())
@@ -215,57 +225,70 @@
         return self.context.random_state.random() * max(3, len(self.context.successors))
 
     @property
-    def _holds_back(self):
-        """Whether other instances should claim first, as far as this one knows."""
+    def _should_defer(self):
+        """Whether instances that are eligible to lead should claim first.
+
+        A known successor does not defer: its rank already takes eligibility into account.
+        """
         settings = self.context.settings
         is_known = self.context.name in self.context.successors
         return not is_known and not can_lead(settings.link_mbps, settings.cpu_milli)
 
-    def _still_s(self):
-        """Return for how long the leader's row may stand still."""
+    def _unchanged_limit_s(self):
+        """Return the time for which the leader's row may stay unchanged. Unit: seconds."""
         n_doublings = min(MAX_DOUBLINGS, self.row.n_loads)
-        return max(STILL_S, STILL_READS * self._read_s) * 2**n_doublings
-
-    def _turn_s(self):
-        """Return how long this instance holds back before it claims."""
-        step_s = max(RANK_STEP_S, RANK_STEP_READS * self._read_s)
-        turn_s = self._rank() * step_s
-        return turn_s + WEAK_S + WEAK_RANKS * step_s if self._holds_back else turn_s
+        return max(MIN_UNCHANGED_S, MIN_UNCHANGED_READS * self._read_duration_s) * 2**n_doublings
+
+    def _claim_delay_s(self):
+        """Return the delay of this instance's claim. Unit: seconds."""
+        step_s = max(RANK_STEP_S, RANK_STEP_READS * self._read_duration_s)
+        delay_s = self._rank() * step_s
+        return (
+            delay_s + INELIGIBLE_DELAY_S + INELIGIBLE_DELAY_STEPS * step_s
+            if self._should_defer
+            else delay_s
+        )
 
     def _sleep(self, delay):
         return deferLater(self.context.clock, delay, lambda: None)
 
     @inlineCallbacks
     def _read_row(self):
-        """Read the leader's row; return whether another life of an instance holds it now."""
+        """Read the leader's row; return whether its holder is another incarnation than before."""
         began = self.now
         rows, _ = yield self.context.store.read(LEADER_TABLE, PART)
-        self._read_s = self.now - began
-        self.context.store_health.answer_s = self._read_s
+        self._read_duration_s = self.now - began
+        self.context.store_health.answer_s = self._read_duration_s
         before = self.row.incarnation if self.row is not None else None
         found = next((row for row in rows if row.key == LEADER_KEY), None)
         self.row = decode(found.value, LeaderRow, error=PlatformError) if found else None
         self.row_version = found.version if found else 0
-        # A leader that loads does not write its own row yet, but another one beside it.
-        self._newest_version = max((row.version for row in rows), default=0)
+        # A leader that loads its tables does not write its own row yet, but the loading row.
+        self._newest_row_version = max((row.version for row in rows), default=0)
         changed = self.row is not None and self.row.incarnation != before
         if changed:
             self._yielding = False
-            self._patience_s = 0.0
+            self._lag_allowance_s = 0.0
             self.context.successors = ()
         return changed
 
     @inlineCallbacks
     def _dial(self):
-        """Connect to the holder; return ``leader``, ``not leader`` or ``not reached``."""
+        """Connect to the holder of the leader's row.
+
+        The Deferred fires with ``home`` (connected to the leader), ``not home`` (the holder is not
+        the leader any more) or ``not reached``.
+        """
         row = self.row
         if row.incarnation == self.context.incarnation:
             return "not home"
         try:
-            link = yield self.context.links.dial(row.address, self._dial_s)
-        except Exception as exc:  # every way in which a connection can fail is an answer here
-            self._dial_s = min(MAX_DIAL_S, 2 * self._dial_s)
-            self.log.info("home not reached", home=row.holder, error=type(exc).__name__)
+            link = yield self.context.links.dial(row.address, self._dial_timeout_s)
+        except Exception as exc:  # every failure of a connection counts as "not reached"
+            self._dial_timeout_s = min(MAX_DIAL_TIMEOUT_S, 2 * self._dial_timeout_s)
+            self.log.info(
+                "connection to the leader failed", home=row.holder, error=type(exc).__name__
+            )
             return "not reached"
         known = self.row.incarnation if self.row is not None else None
         if link.peer.incarnation != row.incarnation or known != row.incarnation:
@@ -275,23 +298,25 @@
         return "home"
 
     @inlineCallbacks
-    def _watch(self, dialling):
-        """Look at a leader's row until it is reached, has a successor, or writes no more.
+    def _watch_row(self, dialling):
+        """Read the leader's row until the leader is connected, replaced or no longer writing.
 
-        A leader that goes on writing is left alone: that it cannot be reached, or that a connection
-        to it is refused, a cut may do, too. A dark leader is not waited for: it takes the dial 0.4
-        s to find that out, and an instance that starts would see its successor that much later.
+        A leader that continues to write is not replaced: a network partition, too, can make it
+        unreachable or cause connections to be refused. The row is read while the connection attempt
+        is still pending: the attempt takes 0.4 s to time out on an unresponsive leader, and an
+        instance that starts would find the next leader that much later.
 
         Parameters
         ----------
         dialling : PendingResult or None
-            Of the connection that is being made to it; None: it is not reached.
+            Result of the pending connection attempt; None if the leader is already known to be
+            unreachable.
         """
-        before = self._newest_version
-        wait_s = self._still_s() + self._patience_s + self._turn_s()
+        before = self._newest_row_version
+        wait_s = self._unchanged_limit_s() + self._lag_allowance_s + self._claim_delay_s()
         until = self.now + wait_s
         while True:
-            pause = min(LOOK_S, max(_TICK_S, until - self.now))
+            pause = min(CHECK_S, max(_TICK_S, until - self.now))
             yield (
                 self._sleep(pause) if dialling is None else dialling.wait(self.context.clock, pause)
             )
@@ -305,24 +330,24 @@
             if (yield self._read_row()):
                 yield self._dial()
                 return
-            if self._newest_version == before:
+            if self._newest_row_version == before:
                 if self.now >= until - _TICK_S:
                     yield self._claim("home does not write")
                     return
                 continue
-            before, until = self._newest_version, self.now + wait_s
+            before, until = self._newest_row_version, self.now + wait_s
             if dialling is None:
                 self.log.info("home writes but is not reached", home=self.row.holder)
                 self.context.links.leave_leader()
-                yield self._sleep(jitter(self.context.random_state, AGAIN_S))
+                yield self._sleep(jitter(self.context.random_state, RETRY_S))
                 return
 
     # Claiming
 
     @inlineCallbacks
     def _claim_in_turn(self, why):
-        """Claim unless another instance, whose turn comes first, has done so meanwhile."""
-        delay = self._turn_s()
+        """Claim after this instance's delay, unless another instance has claimed by then."""
+        delay = self._claim_delay_s()
         if delay > 0:
             yield self._sleep(delay)
             if (yield self._read_row()):
@@ -333,18 +358,22 @@
     @inlineCallbacks
     def _claim(self, why):
         for _ in range(CLAIM_TRIES):
-            moved = yield self._claim_once(why)
-            if moved is None or why != "home yields":
+            current_row = yield self._try_to_claim(why)
+            if current_row is None or why != "home yields":
                 return
-            holder = decode(moved.value, LeaderRow, error=PlatformError)
+            holder = decode(current_row.value, LeaderRow, error=PlatformError)
             if holder.incarnation != self.row.incarnation:
                 yield self._read_row()
                 return
-            self.row, self.row_version = holder, moved.version
+            self.row, self.row_version = holder, current_row.version
 
     @inlineCallbacks
-    def _claim_once(self, why):
-        """Claim; return the leader's row if that has been written since it was read, or None."""
+    def _try_to_claim(self, why):
+        """Try to claim once.
+
+        The Deferred fires with the leader's row if the row has been written since it was read, so
+        that the claim was refused; else with None.
+        """
         if self.context.leaving:
             return None
         former = self.row
@@ -355,7 +384,8 @@
             term=1,
         )
         if former is not None:
-            # What it said of its workers stays true until this leader has heard them.
+            # The former leader's report on its workers is kept until they have responded to this
+            # one.
             row.term = former.term + 1
             row.handover = former.handover
             row.registry_version = former.registry_version
@@ -368,18 +398,18 @@
             version = yield self.context.store.commit(
                 conditions,
                 [write(LEADER_TABLE, LEADER_KEY, row)],
-                timeout=max(CLAIM_TIMEOUT_S, CLAIM_READS * self._read_s),
+                timeout=max(CLAIM_TIMEOUT_S, CLAIM_TIMEOUT_READS * self._read_duration_s),
             )
         except PreconditionError as exc:
             found = (row for row in exc.details["rows"] if row.key == LEADER_KEY and row.value)
-            moved = next(found, None)
-            if moved is None:
+            current_row = next(found, None)
+            if current_row is None:
                 yield self._read_row()
-            return moved
+            return current_row
         except PlatformError as exc:
-            # The claim may have been made, or may be made yet: the row will tell.
-            self.log.info("claim unanswered", error=str(exc))
-            yield self._sleep(jitter(self.context.random_state, AGAIN_S))
+            # The claim may have been applied, or may still be: the row shows which.
+            self.log.info("store did not answer the claim", error=str(exc))
+            yield self._sleep(jitter(self.context.random_state, RETRY_S))
             yield self._read_row()
             if self.row is None or self.row.incarnation != self.context.incarnation:
                 return None
--- a/anvilflow/cell/_link_utilization.py
+++ b/anvilflow/cell/_link_utilization.py
@@ -1,18 +1,18 @@
-"""How much of its link an instance uses."""
+"""Utilization of the link of an instance."""
 
-#: Weight of the newest measure: a burst counts within some tenths of a second.
-NEWEST_SHARE = 0.3
+#: Weight of the newest sample in the moving average: a burst shows within some tenths of a second.
+NEWEST_WEIGHT = 0.3
 
 _BYTES_PER_MBIT = 125_000
 
 
 class LinkUtilization:
-    """Follows the share of the instance's link that is in use, in the busier direction.
+    """Moving average of the used share of the instance's link, in the busier direction.
 
     Parameters
     ----------
     settings : callable
-        Returns the settings; they tell the bandwidth.
+        Returns the settings, which give the bandwidth.
     count : callable
         Returns the bytes sent and received so far.
     """
@@ -24,7 +24,7 @@
         self._before = None
 
     def measure(self, now):
-        """Note what was sent and received since the last time."""
+        """Update the average with the bytes sent and received since the last call."""
         counted = (now, *self._count())
         before, self._before = self._before, counted
         mbps = self._settings().link_mbps
@@ -32,4 +32,4 @@
             return
         busier = max(counted[1] - before[1], counted[2] - before[2])
         share = busier / (now - before[0]) / (mbps * _BYTES_PER_MBIT)
-        self.share += NEWEST_SHARE * (share - self.share)
+        self.share += NEWEST_WEIGHT * (share - self.share)
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -1,4 +1,4 @@
-"""Connections between instances: each to the leader, over which calls go both ways."""
+"""Connections between instances: one from each instance to the leader, with calls both ways."""
 
 from twisted.internet.defer import Deferred, TimeoutError, fail
 
@@ -17,37 +17,37 @@
 from ..runtime import Part
 from ._leader_eligibility import rank_candidates, reported_cpu_milli
 
-#: Messages that wait on one link at the most.
+#: Maximum number of messages queued on one link.
 QUEUE_LIMIT = 5000
 
-#: Wait for a connection to another instance. One way takes about 1 ms. Unit: seconds.
+#: Timeout of a connection to another instance. One-way latency is about 1 ms. Unit: seconds.
 DIAL_TIMEOUT_S = 0.4
 
-#: Wait for the word of an instance that it is the leader, which it sends with its hello. Unit:
-#: seconds.
-WORD_TIMEOUT_S = 0.15
+#: Timeout of the heartbeat by which an instance shows that it is the leader; a leader sends it
+#: right after its hello. Unit: seconds.
+LEADER_REPLY_TIMEOUT_S = 0.15
 
-#: Successors whose addresses the leader tells. The next leader is one of the first, and in a cell
-#: of 44 each address is sent 220 times a second.
-MAX_ADDRESSES = 3
+#: Maximum number of successors whose addresses the leader sends. The next leader is one of the
+#: first, and in a cell of 44 instances each address is sent 220 times a second.
+MAX_SUCCESSOR_ADDRESSES = 3
 
-#: Time by which an instance must have been started after another one to count as started anew:
-#: those of a cell that begins start within seconds of each other. Unit: seconds.
-RESTARTED_S = 4.0
+#: Time by which an instance must have started after this one to count as restarted: in a cell that
+#: is started as a whole, the instances start within seconds of each other. Unit: seconds.
+MIN_START_GAP_S = 4.0
 
-#: Time for which a leader that loses its place remembers who was connected: all others leave it
-#: within milliseconds for the next one, and it sees its own end up to a second later. Unit:
-#: seconds.
-REMEMBERED_S = 5.0
+#: Time for which the leader keeps the addresses of instances that have disconnected. When a leader
+#: is deposed all others leave it for the next leader within milliseconds, and it detects that it
+#: was deposed up to a second later; then it asks them for the new leader. Unit: seconds.
+RECENT_PEER_S = 5.0
 
 
 class LinksPart(Part):
-    """Owns the sockets between instances.
+    """Owns the connections between instances.
 
     Notes
     -----
-    An instance keeps one connection, to the leader; the leader has one from each instance. At 41
-    instances this makes 40 connections where a full mesh would have 820.
+    An instance keeps one connection, to the leader; the leader has one from each other instance.
+    With 41 instances these are 40 connections, where a full mesh would have 820.
     """
 
     prefix = "links"
@@ -57,8 +57,8 @@
         self.peers = {}
         self.leader_link = None
         self._calls = {}
-        self._asked = {}
-        self._gone = {}
+        self._leader_requests = {}
+        self._recent_peers = {}
         self._restarted = set()
         self._n_calls = 0
         self._n_bytes_out = 0
@@ -66,7 +66,7 @@
         self._stopped = False
 
     def start(self):
-        """Listen to other instances."""
+        """Listen for connections of other instances."""
         port, address = self.context.network.listen(
             self.context.settings.listen.peers, LinkFactory(make_link=self._make_link)
         )
@@ -118,57 +118,57 @@
 
     @property
     def successors(self):
-        """Names of the connected instances in the order in which they should become the leader."""
+        """Names of the connected instances in the order in which they should become leader."""
         hellos = [link.peer for link in self.peers.values()]
         return [hello.instance for hello in rank_candidates(hellos, self._restarted)]
 
     @property
-    def most_cpu_milli(self):
-        """Processor of the first of them, 0 when there is none. Unit: thousandths of a core."""
+    def best_successor_cpu_milli(self):
+        """CPU capacity of the best connected instance, or 0. Unit: thousandths of a core."""
         hellos = rank_candidates(link.peer for link in self.peers.values())
         return reported_cpu_milli(hellos[0]) if hellos else 0
 
     @property
     def successor_addresses(self):
-        """Addresses of the first of them, and of those that were connected a moment ago."""
-        since = self.now - REMEMBERED_S
-        hellos = {name: hello for name, (hello, at) in self._gone.items() if at >= since}
+        """Addresses of the first successors, with instances that disconnected a moment ago."""
+        since = self.now - RECENT_PEER_S
+        hellos = {name: hello for name, (hello, at) in self._recent_peers.items() if at >= since}
         hellos.update((name, link.peer) for name, link in self.peers.items())
         first = rank_candidates(hellos.values(), self._restarted)
-        return [hello.address for hello in first if hello.address][:MAX_ADDRESSES]
+        return [hello.address for hello in first if hello.address][:MAX_SUCCESSOR_ADDRESSES]
 
-    # To the leader
+    # Connecting to the leader
 
     def ask_for_leader(self, address):
         """Connect to an instance; the Deferred fires with its :class:`LeaderReply`, or None.
 
-        None says that it is not the leader, or is not reached.
+        None means that the instance is not the leader or is unreachable.
         """
         done = self.dial(address)
-        done.addCallback(self._await_word)
+        done.addCallback(self._await_leader_reply)
         done.addErrback(lambda _: None)
         return done
 
-    def _await_word(self, link):
-        self._asked[link] = word = Deferred()
-        word.addTimeout(WORD_TIMEOUT_S, self.context.clock)
-        word.addErrback(self._no_word, link)
-        return word
+    def _await_leader_reply(self, link):
+        self._leader_requests[link] = leader_reply = Deferred()
+        leader_reply.addTimeout(LEADER_REPLY_TIMEOUT_S, self.context.clock)
+        leader_reply.addErrback(self._leader_reply_failed, link)
+        return leader_reply
 
-    def _no_word(self, failure, link):
-        self._asked.pop(link, None)
+    def _leader_reply_failed(self, failure, link):
+        self._leader_requests.pop(link, None)
         link.abort()
         return failure
 
     def dial(self, address, timeout=DIAL_TIMEOUT_S):
-        """Connect to an instance; the Deferred fires with a link that said hello."""
+        """Connect to an instance; the Deferred fires with the link when its hello has arrived."""
         link = self._make_link()
         link.ready = Deferred()
         ready = link.ready
         done = self.context.network.dial(address, link, timeout)
         done.addErrback(self._dial_failed, link)
         ready.addTimeout(timeout, self.context.clock)
-        ready.addErrback(self._dial_given_up, link)
+        ready.addErrback(self._dial_timed_out, link)
         return ready
 
     def _dial_failed(self, failure, link):
@@ -176,19 +176,19 @@
         if ready is not None and not ready.called:
             ready.errback(failure)
 
-    def _dial_given_up(self, failure, link):
+    def _dial_timed_out(self, failure, link):
         link.ready = None
         link.abort()
         return failure
 
     def follow_leader(self, link):
-        """Use a link as the one to the leader."""
+        """Use `link` as the connection to the leader; close the one used before."""
         if self.leader_link is not None and self.leader_link is not link:
             self.leader_link.abort()
         self.leader_link = link
 
     def leave_leader(self):
-        """Drop the connection to the leader."""
+        """Close the connection to the leader."""
         link, self.leader_link = self.leader_link, None
         if link is not None:
             link.abort()
@@ -196,26 +196,26 @@
     # Link events
 
     def link_up(self, link):
-        """The other end said hello."""
+        """Handle the hello of the other end."""
         ready, link.ready = link.ready, None
         if ready is not None:
             ready.callback(link)
             return
         self.peers[link.peer.instance] = link
-        self._note_start(link.peer)
+        self._note_restart(link.peer)
         if self.context.leader is not None:
             link.send(self.context.leader.heartbeat())
 
-    def _note_start(self, hello):
-        """Note whether an instance was started after this one."""
-        is_later = hello.up_s is not None and hello.up_s < self.context.up_s - RESTARTED_S
+    def _note_restart(self, hello):
+        """Record whether an instance started after this one."""
+        is_later = hello.up_s is not None and hello.up_s < self.context.up_s - MIN_START_GAP_S
         if is_later:
             self._restarted.add(hello.instance)
         else:
             self._restarted.discard(hello.instance)
 
     def link_down(self, link):
-        """A connection is gone: calls over it get no answer."""
+        """Handle the loss of a connection: pending calls over it fail."""
         self._n_bytes_out += link.n_bytes_out
         self._n_bytes_in += link.n_bytes_in
         for call, (used, done) in list(self._calls.items()):
@@ -228,26 +228,26 @@
                 self.post(LeaderLinkLost())
         if link.peer is not None and self.peers.get(link.peer.instance) is link:
             del self.peers[link.peer.instance]
-            self._gone[link.peer.instance] = (link.peer, self.now)
-        asked = self._asked.pop(link, None)
-        if asked is not None:
-            asked.errback(PeerTimeoutError("the connection to the other instance is gone"))
+            self._recent_peers[link.peer.instance] = (link.peer, self.now)
+        leader_request = self._leader_requests.pop(link, None)
+        if leader_request is not None:
+            leader_request.errback(PeerTimeoutError("the connection to the other instance is gone"))
 
     def link_broken(self, link, error):
-        """The other end sent what cannot be read."""
+        """Log a frame that could not be decoded."""
         self.log.warning("instance sent a malformed frame", error=str(error))
 
     def link_message(self, link, body):
-        """Hand a message to whom it is for."""
+        """Dispatch a message by its type."""
         match body:
             case JobReply() | AdviceReply() | WorkerAnswer():
                 _, done = self._calls.pop(body.call, (None, None))
                 if done is not None:
                     done.callback(body)
             case HomeBeat():
-                asked = self._asked.pop(link, None)
-                if asked is not None:
-                    asked.callback(LeaderReply(link=link, heartbeat=body))
+                leader_request = self._leader_requests.pop(link, None)
+                if leader_request is not None:
+                    leader_request.callback(LeaderReply(link=link, heartbeat=body))
                 elif link is self.leader_link:
                     if body.sent_ms is not None and self.context.relay is not None:
                         self.context.relay.heard(link, body.sent_ms)
@@ -316,7 +316,7 @@
         link.send(reply)
 
     def _refuse_job(self, failure, link, call):
-        self.log.info("call of an instance failed", error=str(failure.value))
+        self.log.info("job call from another instance failed", error=str(failure.value))
         link.send(JobReply(call=call, outcome="failed", count=0))
 
     def _serve_advice(self, link, body):
@@ -337,7 +337,7 @@
 
 
 class LeaderReply:
-    """An instance said that it is the leader.
+    """Reply of an instance that is the leader.
 
     Parameters
     ----------
@@ -353,6 +353,6 @@
 
 
 class LeaderLinkLost:
-    """The connection to the leader is gone."""
+    """Event: the connection to the leader is lost."""
 
     __slots__ = ()
--- a/anvilflow/cell/_loading_heartbeat.py
+++ b/anvilflow/cell/_loading_heartbeat.py
@@ -1,4 +1,4 @@
-"""Shows that a leader lives while it reads its tables."""
+"""Heartbeat rows written by a leader while it reads its tables."""
 
 from msgspec import Struct
 
@@ -7,27 +7,28 @@
 from ._recorder import HEARTBEAT_S
 from ._tables import LEADER_KEY, LEADER_TABLE, LOADING_KEY, LeaderRow, condition, write
 
-#: Time after which a leader that still loads offers its place. 1.7 MB, the rows of all jobs of 140
-#: s at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
-FIRST_LOAD_S = 5.0
+#: Time after which a leader that still loads yields to another instance. 1.7 MB, the rows of all
+#: jobs of 140 s at 19 jobs a second, take 2.7 s over 5 Mbit/s. Unit: seconds.
+MIN_LOAD_TIMEOUT_S = 5.0
 
-#: Each claim in a row after which no leader has begun doubles that time, at the most so often:
-#: where all links are slower than thought, one of them has the time that it needs.
+#: Maximum number of doublings of that time: one for each consecutive claim after which no leader
+#: has begun to schedule. Where all links are slower than configured, one of the leaders then has
+#: enough time to load.
 MAX_DOUBLINGS = 5
 
 
 class LoadingRow(Struct, kw_only=True):
-    """Written again and again by a leader that loads; only that its version grows counts."""
+    """Row written periodically by a leader that loads; only the increase of its version matters."""
 
     incarnation: str
 
 
 class LoadingHeartbeat:
-    """Writes a row beside the leader's until closed.
+    """Writes a row in addition to the leader's row, until closed.
 
-    Over a slow link a leader loads for seconds. An instance that did not reach it saw a row that
-    stood still, and claimed; if the two did not reach each other they took turns, each deposed
-    before it had started a task.
+    Over a slow link a leader loads for seconds. Without this heartbeat an instance that could not
+    reach the leader saw an unchanged row, and claimed. Two instances that could not reach each
+    other then deposed each other in turn, each before it had started a task.
 
     Parameters
     ----------
@@ -38,10 +39,10 @@
 
     Notes
     -----
-    Each write is made on the condition that the leader's row is as the claim left it, so that
-    another claim ends it. The leader's row itself stays: a late write to it could be taken for a
-    record. No write waits for the answer to the one before, which may come late over the link that
-    is full.
+    Each write is conditional on the leader's row being as the claim left it, so that it fails after
+    another claim. The leader's row itself is not written: a late write to it could be mistaken for
+    a record. Writes do not wait for the answer to the previous one, which may be late over a full
+    link.
     """
 
     def __init__(self, *, context, claimed, on_deposed, on_error):
@@ -49,30 +50,31 @@
         self.claimed = claimed
         self.on_deposed = on_deposed
         self.on_error = on_error
-        # Where the store is slow a write takes as long as a reading: more of them would queue in
-        # the part, and others look less often, too.
+        # Where the store is slow a write takes as long as a read: more frequent writes would queue
+        # in the part of the store, and other instances read the rows less often, too.
         period = max(HEARTBEAT_S, context.store_health.answer_s)
         self._ticker = Ticker(
             clock=context.clock, period=period, call=self._write, on_error=on_error
         )
         self._closed = False
         n_doublings = min(MAX_DOUBLINGS, claimed.former.n_loads if claimed.former else 0)
-        self._late_at = context.clock.seconds() + FIRST_LOAD_S * 2**n_doublings
+        self._timeout_at = context.clock.seconds() + MIN_LOAD_TIMEOUT_S * 2**n_doublings
 
     @property
     def is_late(self):
-        """Whether the leader has loaded for so long that another one should try.
+        """Whether the leader has been loading for so long that another instance should try.
 
-        Answers that trickle over a squeezed link neither fail nor end, and nobody else may begin.
+        Answers that trickle in over a congested link neither fail nor complete, and meanwhile no
+        other instance may lead.
         """
-        return self.context.clock.seconds() >= self._late_at
+        return self.context.clock.seconds() >= self._timeout_at
 
     def start(self):
-        """Write each period."""
+        """Start writing once per period."""
         self._ticker.start(delay=self._ticker.period)
 
     def close(self):
-        """Write no more."""
+        """Stop writing."""
         self._closed = True
         self._ticker.stop()
 
@@ -84,10 +86,10 @@
             [condition(LEADER_TABLE, LEADER_KEY, self.claimed.row_version)],
             [write(LEADER_TABLE, LOADING_KEY, row)],
         )
-        done.addErrback(self._not_written)
+        done.addErrback(self._write_failed)
         done.addErrback(self.on_error)
 
-    def _not_written(self, failure):
+    def _write_failed(self, failure):
         failure.trap(PlatformError)
         if self._closed or not failure.check(PreconditionError):
             return
--- a/anvilflow/cell/_pending_jobs.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -157,7 +157,7 @@
         return found
 
     def _check_store(self):
-        if self.context.store_health.bad_for_s > STORE_AWAY_S:
+        if self.context.store_health.failing_for_s > STORE_AWAY_S:
             raise _not_known("neither a home nor the store tells")
 
 
--- a/anvilflow/cell/_pending_result.py
+++ b/anvilflow/cell/_pending_result.py
@@ -1,11 +1,11 @@
-"""The result of a call that something else goes on beside."""
+"""Result of an asynchronous call, which can be awaited with a timeout and read later."""
 
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
 
 class PendingResult:
-    """The result of a call, which can be waited for with a limit and looked at later.
+    """Result of a call, which can be awaited with a timeout and read later.
 
     Parameters
     ----------
@@ -15,25 +15,25 @@
     def __init__(self, call):
         self.is_known = False
         self._result = None
-        self._waiting = None
-        call.addBoth(self._take)
+        self._waiter = None
+        call.addBoth(self._store_result)
 
-    def _take(self, result):
+    def _store_result(self, result):
         self.is_known = True
         self._result = result
-        self._wake()
+        self._release_waiter()
 
-    def _wake(self):
-        waiting, self._waiting = self._waiting, None
+    def _release_waiter(self):
+        waiting, self._waiter = self._waiter, None
         if waiting is not None:
             waiting.callback(None)
 
     def wait(self, clock, delay):
-        """Return a Deferred that fires with the result's arrival, at the latest after `delay`."""
+        """Return a Deferred that fires when the result arrives, at the latest after `delay`."""
         if self.is_known:
             return succeed(None)
-        self._waiting = waiting = Deferred()
-        late = clock.callLater(max(0.0, delay), self._wake)
+        self._waiter = waiting = Deferred()
+        late = clock.callLater(max(0.0, delay), self._release_waiter)
         return waiting.addBoth(lambda _: late.cancel() if late.active() else None)
 
     def get(self):
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -260,7 +260,7 @@
             yield writing.wait(self.context.clock, self._doubt_s + self._late_s)
             if writing.is_known:
                 return None
-            was_away = self.reach.is_bad
+            was_away = self.reach.is_failing
             row = yield self._read_row()
             if self._has_moved(row):
                 return row
@@ -292,8 +292,8 @@
                 timeout=max(READ_TIMEOUT_S, self._doubt_s) + self._late_s,
             )
         except PlatformError:
-            self.reach.bad()
-            self.context.store_health.bad()
+            self.reach.record_failure()
+            self.context.store_health.record_failure()
             return None
         self._answered()
         if row is not None and row.version == self._row_version:
@@ -301,8 +301,8 @@
         return row
 
     def _answered(self):
-        self.reach.good()
-        self.context.store_health.good()
+        self.reach.record_answer()
+        self.context.store_health.record_answer()
 
     def _done(self, snapshot, version):
         self.n_commits += 1
--- a/anvilflow/cell/_standby_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -1,4 +1,4 @@
-"""Tables of the cell, followed by the instances that come next as its leader."""
+"""Standby tables: replicas of the leader's tables, kept by the instances next in succession."""
 
 from twisted.internet.defer import inlineCallbacks
 
@@ -11,25 +11,25 @@
 from ._registry import is_worker_entry
 from ._tables import ENDED, JOBS, PART, PROGRESS
 
-#: Successors that follow the tables: the next leader, and the one after it.
+#: Number of successors that follow the tables: the next leader, and the one after it.
 N_STANDBYS = 2
 
-#: Pause between readings of what has changed. Unit: seconds.
-PERIOD_S = 0.5
+#: Pause between reads of the changes. Unit: seconds.
+FOLLOW_S = 0.5
 
-#: Pause between looks at whether to follow where link and processor have room: only settings that
-#: are read anew change that. Unit: seconds.
-IDLE_PERIOD_S = 5.0
+#: Pause between the checks on whether to follow, on an instance whose link and processor allow it
+#: to load quickly: only a reload of the settings changes that. Unit: seconds.
+IDLE_FOLLOW_S = 5.0
 
-#: Time for which the tables are kept by an instance that is no successor any more: between two
-#: leaders there is no order. Unit: seconds.
-KEPT_S = 5.0
+#: Time for which an instance that is no longer a successor keeps the tables: between two leaders no
+#: order of succession is known. Unit: seconds.
+RETENTION_S = 5.0
 
 _TABLES = (JOBS, PROGRESS, ENDED, REGISTRY_TABLE)
 
 
 class _Table:
-    """Rows of a table as of a version; nothing while it has not been read."""
+    """Rows of a table as of `version`, which is None until the table has been read."""
 
     __slots__ = ("rows", "version")
 
@@ -38,12 +38,12 @@
         self.version = None
 
     def read(self, rows, version):
-        """Take the whole table."""
+        """Set the rows to those of a complete read."""
         self.rows = {(row.part, row.key): row for row in rows}
         self.version = version
 
-    def changed(self, rows, version):
-        """Take the changes up to a version; an answer that is overtaken by a later one is old."""
+    def apply_changes(self, rows, version):
+        """Apply the changes up to a version; ignore them if a later version has been applied."""
         if version < self.version:
             return
         for row in rows:
@@ -55,11 +55,12 @@
 
 
 class StandbyTablesPart(Part):
-    """Follows the tables that a leader reads when it begins, while this instance is a successor.
+    """Replicates the tables that a new leader reads, while this instance is a successor.
 
-    Over a narrow link, and with little processor, a new leader read them for seconds. Leases ended
-    meanwhile, and callers were refused. After a claim only what has changed since is read; the
-    claim fences the former leader, so that nothing of its records comes later.
+    Over a narrow link, or with little CPU capacity, a new leader took seconds to read the tables.
+    Meanwhile leases ended, and callers were refused. With standby tables only the changes since the
+    last read are read after a claim. The claim fences the former leader, so that none of its
+    records is applied later.
     """
 
     prefix = "warm"
@@ -67,15 +68,15 @@
     def __init__(self, *, context):
         super().__init__(context=context)
         self._tables = {}
-        self._wanted_at = float("-inf")
+        self._last_followed_at = float("-inf")
 
     def start(self):
-        """Follow the tables whenever this instance is one of the next leaders."""
+        """Start to follow the tables whenever this instance is one of the next successors."""
         self.context.standby_tables = self
         self.every(self._period_s, self._follow)
 
     def stop(self):
-        """Forget them."""
+        """Withdraw the tables from the context."""
         self.context.standby_tables = None
         super().stop()
 
@@ -84,27 +85,27 @@
         """Whether all tables have been read."""
         return len(self._tables) == len(_TABLES)
 
-    def _has_room(self):
+    def _can_load_fast(self):
         settings = self.context.settings
         return can_lead(settings.link_mbps, settings.cpu_milli)
 
     def _period_s(self):
-        return IDLE_PERIOD_S if self._has_room() else PERIOD_S
+        return IDLE_FOLLOW_S if self._can_load_fast() else FOLLOW_S
 
-    def _is_wanted(self):
+    def _should_follow(self):
         context = self.context
-        if self._has_room() or context.leader is not None:
+        if self._can_load_fast() or context.leader is not None:
             return False
         return context.name in context.successors[:N_STANDBYS]
 
     @inlineCallbacks
     def _follow(self):
-        if not self._is_wanted():
-            if self.now - self._wanted_at > KEPT_S:
+        if not self._should_follow():
+            if self.now - self._last_followed_at > RETENTION_S:
                 self._tables = {}
             return
-        self._wanted_at = self.now
-        if self.context.store_health.is_bad:
+        self._last_followed_at = self.now
+        if self.context.store_health.is_failing:
             return
         try:
             if self.is_complete:
@@ -118,7 +119,7 @@
 
     @inlineCallbacks
     def _read(self):
-        """Read all tables, one after the other: this is in no hurry."""
+        """Read all tables, one after another, as this is not urgent."""
         store = self.context.store
         tables = {}
         for name in _TABLES:
@@ -143,11 +144,11 @@
         ]
         changes = yield gather(reads, readings_at_once(self.context.settings.link_mbps, 0))
         for table, (rows, version) in zip(tables.values(), changes, strict=True):
-            table.changed(rows, version)
+            table.apply_changes(rows, version)
 
     @inlineCallbacks
     def state(self, former, config):
-        """Return the :class:`StoredState` as it is now, or None where the tables are not followed.
+        """Return the current :class:`StoredState`, or None if the tables are not complete.
 
         Parameters
         ----------
--- a/anvilflow/cell/_store_probe.py
+++ b/anvilflow/cell/_store_probe.py
@@ -1,35 +1,35 @@
-"""Sees at once when the store answers this instance again."""
+"""Probes of the store during an outage, which detect promptly that the store answers again."""
 
 from ..exceptions import PlatformError
 from ..runtime import Part
 from ._tables import LEADER_KEY, LEADER_TABLE, PART
 
-#: Period of the readings while the store is in doubt. Jobs are refused for this long after an
-#: outage, and half of it on average. Forty instances make 270 readings a second with it, a
-#: twentieth of what their store serves. Unit: seconds.
+#: Period of the reads while the last call to the store had no answer. After an outage jobs are
+#: refused for up to this time, on average for half of it. Forty instances make 270 reads a second,
+#: a twentieth of what their store serves. Unit: seconds.
 PROBE_S = 0.15
 
-#: Wait for one reading. More than one is under way: an answer that was lost must not delay the
-#: next, and a store that has become slow answers within this time. Unit: seconds.
+#: Timeout of one read. Several reads may be pending at once, because a lost answer must not delay
+#: the next read. A store that has become slow answers within this time. Unit: seconds.
 PROBE_TIMEOUT_S = 0.6
 
 
 class StoreProbePart(Part):
-    """Reads a row again and again while the last call to the store had no answer.
+    """Reads a row periodically while the last call to the store had no answer.
 
-    Clients' calls and feeds find out by themselves that the store is away. That it is back they
-    would find out late: a feed waits for seconds for the answer that was lost, and a client who
-    was refused is only there again at the end of its own wait.
+    Client calls and feeds detect by themselves that the store is unavailable. They would detect its
+    recovery late: a feed waits for seconds for the lost answer, and a refused client retries only
+    after its own delay.
     """
 
     prefix = "store"
 
     def start(self):
-        """Watch the store's health."""
-        self.every(PROBE_S, self._probe_if_bad)
+        """Start the periodic check of the store's health."""
+        self.every(PROBE_S, self._probe_if_failing)
 
-    def _probe_if_bad(self):
-        if self.context.store_health.is_bad:
+    def _probe_if_failing(self):
+        if self.context.store_health.is_failing:
             self._probe()
 
     def _probe(self):
@@ -39,10 +39,10 @@
 
     def _answered(self, _):
         health = self.context.store_health
-        if health.is_bad:
-            self.log.info("store answers again", after_s=round(health.bad_for_s, 2))
-            health.good()
+        if health.is_failing:
+            self.log.info("store answers again", after_s=round(health.failing_for_s, 2))
+            health.record_answer()
 
     def _unanswered(self, failure):
-        # Said once, by the call that found the store away; this one only confirms it.
+        # Not logged: the call that first found the store unavailable has logged it.
         failure.trap(PlatformError)
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -170,7 +170,7 @@
     _without_successor(monkeypatch, cell)
     cell.advance(2.0)
     name = next(iter(cell.daemons))
-    cell.daemons[name].context.store_health.bad()
+    cell.daemons[name].context.store_health.record_failure()
     assert _n_waiting(cell, name) == 0
 
 
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -321,9 +321,9 @@
 
 def test_constants_fit_together():
     """A silent leader is replaced well within a lease, and a lease within the worker's maximum."""
-    takeover = _leadership.UNRESPONSIVE_S + _leadership.STILL_S + 0.5
+    takeover = _leadership.UNRESPONSIVE_S + _leadership.MIN_UNCHANGED_S + 0.5
     assert takeover + _session.RENEWAL_WAIT_S < _fleet.LEASE_S
-    assert _recorder.HEARTBEAT_S * 2 <= _leadership.STILL_S
+    assert _recorder.HEARTBEAT_S * 2 <= _leadership.MIN_UNCHANGED_S
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_leader_eligibility.py
@@ -1,4 +1,4 @@
-"""The leader belongs on an instance that bears it, where instances differ fourfold and more."""
+"""Choice of the leader among instances whose link and CPU capacity differ fourfold and more."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def make_hello(name, *, link_mbps=100, cpu_milli=1000):
-    """Return what an instance says of itself."""
+    """Return the hello of an instance."""
     return Hello(
         instance=name,
         incarnation="i",
@@ -31,13 +31,13 @@
 
 
 def make_settings(**values):
-    """Return settings of an instance."""
+    """Return the settings of an instance."""
     listen = ListenSettings(front="f:1", ready="r:1", peers="p:1")
     return CellSettings(instance="a0", failure_domain="z", listen=listen, store="s:1", **values)
 
 
-def test_strongest_instance_on_a_link_that_bears_a_leader_comes_first():
-    """Links of 20 and 200 Mbit/s both bear a leader; one of 5 Mbit/s does not."""
+def test_instance_with_most_cpu_on_a_sufficient_link_comes_first():
+    """Links of 20 and 200 Mbit/s are both sufficient for a leader; one of 5 Mbit/s is not."""
     hellos = [
         make_hello("narrow", link_mbps=5, cpu_milli=4000),
         make_hello("weak", link_mbps=200, cpu_milli=516),
@@ -47,32 +47,32 @@
 
 
 @pytest.mark.parametrize("cpu_milli", [None, 0, -5, 2_000_000_000])
-def test_instance_that_tells_an_impossible_strength_counts_as_the_weakest(cpu_milli):
-    """It may still become the leader, after all others."""
-    liar = make_hello("liar", cpu_milli=cpu_milli)
-    assert reported_cpu_milli(liar) == 0
-    assert [hello.instance for hello in rank_candidates([liar, make_hello("z", cpu_milli=1)])][
-        -1
-    ] == "liar"
+def test_instance_that_reports_impossible_cpu_capacity_ranks_last(cpu_milli):
+    """The instance stays a candidate, behind all others."""
+    misreporting = make_hello("misreporting", cpu_milli=cpu_milli)
+    assert reported_cpu_milli(misreporting) == 0
+    assert [
+        hello.instance for hello in rank_candidates([misreporting, make_hello("z", cpu_milli=1)])
+    ][-1] == "misreporting"
 
 
 @pytest.mark.parametrize(
     "values",
     [{}, {"cpu_share": 0.5}, {"cores": 2}, {"cpu_share": 0.0, "cores": 2}, {"cpu_share": -1.0}],
 )
-def test_settings_without_a_strength_count_as_a_whole_core(values):
-    """Share or cores are missing, zero or negative: such an instance may be the leader."""
+def test_settings_without_valid_cpu_capacity_count_as_one_core(values):
+    """Share or cores are missing, zero or negative: such an instance stays eligible to lead."""
     assert make_settings(**values).cpu_milli == 1000
 
 
-def test_strength_is_the_share_of_a_core_that_is_so_many_times_as_fast():
-    """0.717 of a core of three times the speed."""
+def test_cpu_capacity_is_the_share_times_the_cores():
+    """A share of 0.717 of a core with three times the speed is 2.151 cores."""
     assert make_settings(cpu_share=0.717, cores=3).cpu_milli == 2151
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_successor_is_one_with_much_processor(monkeypatch, safeguard):
-    """The leader dies; of the instances that are left one has more than an eighth of a core."""
+def test_successor_is_an_instance_with_high_cpu_capacity(monkeypatch, safeguard):
+    """After the loss of the leader only one instance has more than an eighth of a core."""
     if not safeguard:
         monkeypatch.setattr(_leader_eligibility, "reported_cpu_milli", lambda hello: 0)
     cell = make_cell(n_instances=4, weak=WEAK)
@@ -85,8 +85,8 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_after_the_end_of_all_instances_has_much_processor(monkeypatch, safeguard):
-    """All instances are killed at once and started again: nobody knows an order."""
+def test_leader_after_a_restart_of_all_instances_has_high_cpu_capacity(monkeypatch, safeguard):
+    """All instances are killed at once and restarted, so that none has an order of succession."""
     if not safeguard:
         monkeypatch.setattr(_leader_eligibility, "MIN_LEADER_CPU_MILLI", 0)
     leaders = set()
@@ -98,11 +98,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_late_gives_way_to_a_much_stronger_instance(monkeypatch, safeguard):
-    """A weak instance became the leader while it was alone; a strong one came, and then a burst.
+def test_leader_short_of_processor_yields_to_a_much_stronger_instance(monkeypatch, safeguard):
+    """A weak instance leads; a strong one joins, and then a burst of jobs arrives.
 
-    The leader does all that it is asked to, late, until the end of the day, beside one that could
-    do it in time.
+    Without yielding, the weak leader stays in place and is late with all its work, although another
+    instance could do it in time.
     """
     if not safeguard:
         monkeypatch.setattr(_leader_eligibility, "YIELD_CPU_RATIO", float("inf"))
@@ -119,9 +119,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_restarted_instances_come_first_among_equals(monkeypatch, safeguard):
-    """In a rolling restart the place went to instances that were to be stopped next."""
+    """In a rolling restart, instances that were about to be stopped became leader."""
     if not safeguard:
-        monkeypatch.setattr(_links, "RESTARTED_S", float("inf"))
+        monkeypatch.setattr(_links, "MIN_START_GAP_S", float("inf"))
     cell = make_cell(n_instances=5)
     cell.advance(10.0)
     last = max(name for name in cell.daemons if name != cell.leader())
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -120,4 +120,4 @@
     answers = cell.submit(cell.other(), JOB, *steps)
     cell.advance(3.0)
     assert ([status for status, _, _ in answers] == [413]) is safeguard
-    assert not cell.daemons[cell.other()].context.store_health.is_bad
+    assert not cell.daemons[cell.other()].context.store_health.is_failing
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -153,7 +153,7 @@
     leader = cell.leader()
     term = cell.store.value("home", "home", part="cell")["term"]
     for _ in range(20):
-        cell.daemons[leader].context.store_health.bad()
+        cell.daemons[leader].context.store_health.record_failure()
         cell.advance(0.1)
     assert cell.store.value("home", "home", part="cell")["term"] == term
 
@@ -246,7 +246,7 @@
     job. Now they ask the successors that the last leader has named.
     """
     if not safeguard:
-        monkeypatch.setattr(_links, "MAX_ADDRESSES", 0)
+        monkeypatch.setattr(_links, "MAX_SUCCESSOR_ADDRESSES", 0)
     cell = make_cell(n_instances=5)
     former = cell.leader()
     cut = [former, next(name for name in cell.daemons if name != former)]
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -64,22 +64,22 @@
 def test_lag_is_the_lateness_of_a_periodic_call_and_is_forgotten():
     """A call comes 0.4 s late, once: two seconds later the process is not short any more."""
     lag = LagMeter(period=0.2)
-    lag.called(0.0)
-    lag.called(0.2)
-    assert not lag.is_short
-    lag.called(0.8)
+    lag.record_call(0.0)
+    lag.record_call(0.2)
+    assert not lag.is_short_of_cpu
+    lag.record_call(0.8)
     assert lag.lag_s == pytest.approx(0.4)
-    assert lag.is_short
+    assert lag.is_short_of_cpu
     for number in range(10):
-        lag.called(1.0 + 0.2 * number)
-    assert not lag.is_short
+        lag.record_call(1.0 + 0.2 * number)
+    assert not lag.is_short_of_cpu
 
 
 def test_lag_of_a_process_that_was_paused_is_bounded():
     """A machine was suspended for a minute: nobody waits a minute for its leader afterwards."""
     lag = LagMeter(period=0.2)
-    lag.called(0.0)
-    lag.called(60.0)
+    lag.record_call(0.0)
+    lag.record_call(60.0)
     assert lag.lag_s == MAX_LAG_S
 
 
@@ -105,7 +105,7 @@
     """Answers of the store wait for their turn to be read, and the leader offered its place."""
     if not safeguard:
         monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
-    monkeypatch.setattr(LagMeter, "called", lambda self, now: setattr(self, "lag_s", 0.6))
+    monkeypatch.setattr(LagMeter, "record_call", lambda self, now: setattr(self, "lag_s", 0.6))
     cell = make_cell(n_instances=4)
     leader = cell.leader()
     cell.store_faults.slow_s = 1.3
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -1,13 +1,10 @@
 """Take-overs by instances whose links are slow.
 
-The leader of a large cell dies late in the day. A successor on a link of 5 Mbit/s reads the rows of
-all jobs, which takes it seconds. It said nothing meanwhile, so that the next one took it for dead
-after half a second and claimed, and the next: eight leaders followed one another within 6 s, none
-of which had started a task.
-
-Evidence. Found by asking where else a limit is shorter than a transfer whose size others decide:
-800 jobs make 0.5 MB, and the holder in the leader's row changed at 0.4, 1.4, 1.9, 2.9, 3.5, 4.4,
-5.0 and 6.0 s after the death.
+After the loss of the leader of a large cell, a successor on a link of 5 Mbit/s takes seconds to
+read the rows of all jobs; 800 jobs make 0.5 MB. It sent nothing meanwhile, so that the next
+instance treated it as lost after half a second and claimed, and so on: eight leaders followed one
+another within 6 s, at 0.4, 1.4, 1.9, 2.9, 3.5, 4.4, 5.0 and 6.0 s after the loss, and none of them
+had started a task.
 """
 
 import pytest
@@ -24,7 +21,7 @@
 from ._helpers import end_and_start_all, make_cell
 
 #: A link of 2 Mbit/s. Unit: bytes a second.
-SLOW = 250_000
+SLOW_BYTES_PER_S = 250_000
 
 #: Jobs whose rows take 1.2 s over such a link.
 N_JOBS = 800
@@ -47,17 +44,17 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_loads_over_a_slow_link_is_not_taken_for_dead(monkeypatch, safeguard):
-    """All instances that are left have slow links.
+def test_leader_that_loads_over_a_slow_link_is_not_replaced(monkeypatch, safeguard):
+    """All remaining instances have slow links, and the new leader loads its tables for seconds.
 
-    It says that it lives to those that are connected, and writes so for the others.
+    It must send heartbeats to connected instances, and write heartbeat rows for the others.
     """
     if not safeguard:
         monkeypatch.setattr(LeaderPart, "is_loading", False)
         monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
-        cell.wire.slow_link(name, SLOW)
+        cell.wire.slow_link(name, SLOW_BYTES_PER_S)
     term = _term(cell)
     cell.kill(cell.leader())
     cell.advance(5.0)
@@ -68,12 +65,12 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_instances_stay_connected_to_a_leader_that_loads(monkeypatch, safeguard):
-    """A leader that only writes that it lives is left and dialled again, over a full link."""
+    """Without heartbeats over connections, instances disconnect and reconnect over a full link."""
     if not safeguard:
         monkeypatch.setattr(LeaderPart, "is_loading", False)
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
-        cell.wire.slow_link(name, SLOW)
+        cell.wire.slow_link(name, SLOW_BYTES_PER_S)
     left = []
     leave = LinksPart.leave_leader
     former = cell.leader()
@@ -87,19 +84,19 @@
     assert (set(left) <= {cell.leader()}) is safeguard
 
 
-def _unordered(links):
+def _successors_by_name(links):
     return sorted(links.peers)
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_successor_is_one_on_a_fast_link(monkeypatch, safeguard):
-    """The leader dies; of seven instances that are left one has a fast link.
+def test_successor_is_an_instance_on_a_fast_link(monkeypatch, safeguard):
+    """After the loss of the leader one of seven instances has a fast link, but another sorts first.
 
-    By their names another one came first. A leader on a link of 5 Mbit/s reads 0.5 MB for a second
-    and more before it starts anything, and its own messages nearly fill the link.
+    A leader on a link of 5 Mbit/s reads 0.5 MB for a second and more before it starts a task, and
+    its own messages nearly fill the link.
     """
     if not safeguard:
-        monkeypatch.setattr(LinksPart, "successors", property(_unordered))
+        monkeypatch.setattr(LinksPart, "successors", property(_successors_by_name))
     slow = ("a0", "a1", "a2", "a3", "a4", "a6")
     cell = make_cell(n_instances=8, slow=slow)
     assert cell.leader() not in slow
@@ -109,14 +106,14 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_after_the_end_of_all_instances_is_on_a_fast_link(monkeypatch, safeguard):
-    """All instances are killed at once and started again: nobody knows an order.
+def test_leader_after_a_restart_of_all_instances_is_on_a_fast_link(monkeypatch, safeguard):
+    """All instances are killed at once and restarted, so that none has an order of succession.
 
-    Those on slow links hold back.
+    Instances on slow links must delay their claims.
     """
     if not safeguard:
-        monkeypatch.setattr(_leadership, "WEAK_S", 0.0)
-        monkeypatch.setattr(_leadership, "WEAK_RANKS", 0)
+        monkeypatch.setattr(_leadership, "INELIGIBLE_DELAY_S", 0.0)
+        monkeypatch.setattr(_leadership, "INELIGIBLE_DELAY_STEPS", 0)
     slow = ("a0", "a1", "a2", "a3", "a4", "a5")
     leaders = set()
     for random_state in range(5):
@@ -127,18 +124,17 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_slow_store_does_not_multiply_what_slow_links_hold_back(monkeypatch, safeguard):
-    """All instances are killed and started again, all have slow links, and the store is slow.
-
-    Callers were refused for 11 s. An instance on a slow link held back for ten steps, so that those
-    on fast links come first; a step is two readings of the store, 0.8 s each where it is a hundred
-    times as slow, and no instance had a fast link.
-
-    Evidence. Found by reading; in a trial the first leader began after 0.8 s, with answers of 0.25
-    s after 7.1 s, of 0.4 s after 10.9 s; without the ten steps after 1.5 and 2.3 s.
+def test_slow_store_does_not_multiply_the_claim_delay_of_slow_links(monkeypatch, safeguard):
+    """All instances are restarted at once, all have slow links, and the store is slow.
+
+    An instance on a slow link delayed its claim by ten steps, so that those on fast links come
+    first. A step is two reads of the store, 0.8 s where the store is a hundred times as slow, and
+    as no instance had a fast link, callers were refused for 11 s. With answers of the store after
+    0.25 s and 0.4 s the first leader began after 7.1 s and 10.9 s, without the ten steps after 1.5
+    s and 2.3 s; with a fast store after 0.8 s.
     """
     if not safeguard:
-        monkeypatch.setattr(_leadership, "WEAK_RANKS", 10)
+        monkeypatch.setattr(_leadership, "INELIGIBLE_DELAY_STEPS", 10)
     names = tuple(f"a{number}" for number in range(8))
     cell = make_cell(n_instances=8, slow=names)
     for name in names:
@@ -151,63 +147,61 @@
     assert (len(cell.leaders()) == 1) is safeguard
 
 
-def _leader_that_one_instance_does_not_reach():
-    """Let a leader die and its successor load; return the cell, the leader and the former term."""
+def _cell_with_unreachable_loading_leader():
+    """Kill the leader and cut one instance off from its successor, which loads.
+
+    Return the cell, the new leader and the former term.
+    """
     cell = _cell_with_many_jobs(8)
     for name in cell.daemons:
-        cell.wire.slow_link(name, SLOW)
+        cell.wire.slow_link(name, SLOW_BYTES_PER_S)
     former, term = cell.leader(), _term(cell)
     cell.kill(former)
     while cell.leader() == former:
         cell.advance(0.01)
     leader = cell.leader()
-    lone = next(name for name in reversed(cell.daemons) if name != leader)
-    cell.network.silence(lone, leader)
-    cell.network.silence(leader, lone)
+    cut_off = next(name for name in reversed(cell.daemons) if name != leader)
+    cell.network.silence(cut_off, leader)
+    cell.network.silence(leader, cut_off)
     return cell, leader, term
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leaders_that_are_late_do_not_take_each_others_place_for_ever(monkeypatch, safeguard):
-    """A leader that is short of processor writes nothing for a while, and so does each after it."""
+def test_leaders_that_are_late_do_not_depose_each_other_forever(monkeypatch, safeguard):
+    """Each new leader is short of processor and writes nothing for a while."""
     if not safeguard:
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
     monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
-    cell, _, term = _leader_that_one_instance_does_not_reach()
+    cell, _, term = _cell_with_unreachable_loading_leader()
     cell.advance(8.0)
     assert (len(cell.leaders()) == 1 and _term(cell) <= term + 3) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_loading_leader_that_an_instance_does_not_reach_keeps_its_place(monkeypatch, safeguard):
-    """A successor on a slow link reads the rows of all jobs; one instance does not reach it.
+def test_loading_leader_that_one_instance_cannot_reach_is_not_replaced(monkeypatch, safeguard):
+    """A new leader loads its tables over a slow link, and one instance cannot reach it.
 
-    That one saw a row that stood still and claimed. It could not be reached either, and wrote
-    nothing while it loaded: the two took turns for as long as the cut lasted, each deposed before
-    it had started a task. Over a full link a connection takes longer than its 0.4 s, too.
-
-    Evidence. Found by asking whether a cut may do while a leader loads what it may not do later; in
-    a trial the leader changed by 1.4, 2.6, 3.6, 4.6 and 5.6 s. In a play, 13 calls to the leader
-    over full links had no answer within 0.4 s.
+    That instance saw an unchanged row and claimed. It could not be reached either, and wrote
+    nothing while it loaded: the two deposed each other for as long as the partition lasted, at 1.4,
+    2.6, 3.6, 4.6 and 5.6 s, each before it had started a task. Over a full link a connection can
+    also take longer than its timeout of 0.4 s: 13 calls to a leader had no answer within it.
     """
     if not safeguard:
         monkeypatch.setattr(LoadingHeartbeat, "start", lambda self: None)
         monkeypatch.setattr(_leadership, "MAX_DOUBLINGS", 0)
-    cell, leader, term = _leader_that_one_instance_does_not_reach()
+    cell, leader, term = _cell_with_unreachable_loading_leader()
     cell.advance(5.0)
     assert (_term(cell) == term + 1) is safeguard
     assert (cell.leaders() == [leader]) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_loads_for_too_long_offers_its_place(monkeypatch, safeguard):
-    """The link of a new leader is squeezed to 5 kB a second just after its claim.
-
-    Its answers never pause for long, so that its reading neither fails nor ends for half a minute.
-    It says all the while that it lives, and no other instance may begin: callers wait.
+def test_leader_that_loads_for_too_long_yields(monkeypatch, safeguard):
+    """The link of a new leader is limited to 5 kB per second just after its claim.
 
-    Evidence. Found by asking what an answer that trickles may hold for ever; in a trial with 200
-    jobs the cell had no leader for 51 s.
+    Its answers never pause for long, so that loading neither fails nor completes for half a minute.
+    Meanwhile it sends heartbeats, so that no other instance may lead: with 200 jobs the cell had no
+    leader for 51 s.
     """
     monkeypatch.setattr(_slow_link, "WINDOW_BYTES", 100)
     if not safeguard:
@@ -223,8 +217,8 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_is_found_where_all_load_for_long(monkeypatch, safeguard):
-    """All links are squeezed, and each leader needs 25 s; a fixed limit would end them all."""
+def test_cell_gets_a_leader_if_all_instances_load_slowly(monkeypatch, safeguard):
+    """Over narrow links each leader needs 25 s to load; a fixed limit would stop all of them."""
     if not safeguard:
         monkeypatch.setattr(_loading_heartbeat, "MAX_DOUBLINGS", 0)
     cell = _cell_with_many_jobs(5, n_jobs=200)
@@ -239,12 +233,12 @@
 
 
 #: A link of 2 Mbit/s. Unit: bytes a second, and Mbit/s.
-NARROW = 250_000
+NARROW_BYTES_PER_S = 250_000
 NARROW_MBPS = 2
 
 
 def _cell_with_large_rows(n_jobs=300):
-    """Return a cell with jobs that begin in a year; their rows make 0.6 MB on the wire."""
+    """Return a cell with jobs that start in a year; their rows make 0.6 MB on the wire."""
     cell = make_cell(n_instances=5, n_workers=6)
     queue = cell.daemons["a0"].context.config.queue_named("urgent")
     for number in range(n_jobs):
@@ -265,21 +259,20 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_leader_loads_over_links_on_which_answers_queue(monkeypatch, safeguard):
-    """The leader dies; all links are narrow, and the rows of all jobs make 0.6 MB.
-
-    A leader reads 35 answers at once. Each waits for the windows of all others, so that some pause
-    for longer than a silent connection may, and all are given up. The leader offers its place, and
-    the next one does the same: no job is served any more, and the callers' tasks are not started.
+    """After the loss of the leader all links are narrow, and the rows of all jobs make 0.6 MB.
 
-    Evidence. The log of a day on links of 2 Mbit/s: 17 leaders within 13 s, each with "jobs not
-    loaded, no answer in time" 0.8 s after its claim, and 121 jobs lost.
+    A leader that reads 35 answers at once makes each wait for the windows of all others, so that
+    some pause for longer than a connection may stay without data, and all reads fail. The leader
+    yields, and so does the next one: no job is served any more. On links of 2 Mbit/s there were 17
+    leaders within 13 s, each of which logged "jobs not loaded, no answer in time" 0.8 s after its
+    claim, and 121 jobs were lost.
     """
     if not safeguard:
         monkeypatch.setattr(_leader, "readings_at_once", lambda link_mbps, n_failed: 35)
     cell = _cell_with_large_rows()
     for name, daemon in cell.daemons.items():
         daemon.context.settings.link_mbps = NARROW_MBPS
-        cell.wire.slow_link(name, NARROW)
+        cell.wire.slow_link(name, NARROW_BYTES_PER_S)
     term = _term(cell)
     cell.kill(cell.leader())
     cell.advance(5.5)
@@ -287,13 +280,13 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_loads_over_a_link_that_is_narrower_than_it_is_said_to_be(monkeypatch, safeguard):
-    """The same with settings that tell of fast links: the next tries read less at once."""
+def test_leader_loads_over_a_link_that_is_slower_than_configured(monkeypatch, safeguard):
+    """The settings report fast links, but all are narrow: later attempts must read less at once."""
     if not safeguard:
         monkeypatch.setattr(_leader_state, "NEXT_TRY_SHARE", 1)
     cell = _cell_with_large_rows()
     for name in cell.daemons:
-        cell.wire.slow_link(name, NARROW)
+        cell.wire.slow_link(name, NARROW_BYTES_PER_S)
     cell.kill(cell.leader())
     cell.advance(8.0)
     assert (len(cell.leaders()) == 1) is safeguard
--- a/anvilflow/cell/tests/test_warm_tables.py
+++ b/anvilflow/cell/tests/test_standby_tables.py
@@ -1,4 +1,4 @@
-"""Tables that the next leaders follow before they claim."""
+"""Standby tables: replicas of the leader's tables that its successors keep."""
 
 import pytest
 
@@ -6,50 +6,50 @@
 from anvilflow.cell._standby_tables import N_STANDBYS, StandbyTablesPart
 
 from ._helpers import JOB, STEP, cancel, make_cell
-from .test_slow_links import NARROW, NARROW_MBPS, _cell_with_large_rows
+from .test_slow_links import NARROW_BYTES_PER_S, NARROW_MBPS, _cell_with_large_rows
 
 NAMES = tuple(f"a{number}" for number in range(5))
 
 
 def _result(done):
-    """Return what a Deferred has fired with."""
+    """Return a list that receives the result of a Deferred."""
     results = []
     done.addBoth(results.append)
     return results
 
 
-def _warm(cell):
+def _standbys(cell):
     return [name for name, each in cell.daemons.items() if each.context.standby_tables.is_complete]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_begins_at_once_after_the_loss_of_another(monkeypatch, safeguard):
-    """Over a narrow link it read the rows of all jobs first, while leases ended."""
+def test_successor_with_standby_tables_leads_at_once(monkeypatch, safeguard):
+    """Over a narrow link a new leader first read the rows of all jobs, while leases ended."""
     if not safeguard:
         monkeypatch.setattr(StandbyTablesPart, "is_complete", False)
     cell = _cell_with_large_rows()
     for name, daemon in cell.daemons.items():
         daemon.context.settings.link_mbps = NARROW_MBPS
-        cell.wire.slow_link(name, NARROW)
+        cell.wire.slow_link(name, NARROW_BYTES_PER_S)
     cell.advance(12.0)
     cell.kill(cell.leader())
     cell.advance(1.0)
     assert (len(cell.leaders()) == 1) is safeguard
 
 
-def test_only_the_next_leaders_follow_and_only_where_reading_takes_long():
-    """Each follower reads all that is written."""
+def test_only_the_next_successors_follow_and_only_if_loading_is_slow():
+    """Each instance that follows the tables adds reads of all changes to the store's load."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
     successors = cell.daemons[cell.leader()].context.links.successors
-    assert set(_warm(cell)) == set(successors[:N_STANDBYS])
+    assert set(_standbys(cell)) == set(successors[:N_STANDBYS])
     fast = make_cell(n_instances=5)
     fast.advance(2.0)
-    assert _warm(fast) == []
+    assert _standbys(fast) == []
 
 
-def test_followed_tables_are_those_that_a_reading_finds():
-    """Rows that were added, changed and removed since the first reading."""
+def test_standby_tables_equal_a_complete_read():
+    """Rows are added, changed and removed after the first read of the tables."""
     cell = make_cell(n_instances=5, n_workers=4, weak=NAMES)
     cell.advance(2.0)
     gateway = cell.other()
@@ -62,7 +62,7 @@
     cancel(cell, gateway)
     cell.store.remove("servers", "i-3")
     cell.advance(2.0)
-    context = cell.daemons[_warm(cell)[0]].context
+    context = cell.daemons[_standbys(cell)[0]].context
     followed = _result(context.standby_tables.state(None, context.config))
     read = _result(read_state(context.store, None, context.config))
     cell.advance(0.1)
@@ -75,8 +75,8 @@
     return {(row.part, row.key): row.version for row in rows}
 
 
-def test_history_that_is_gone_has_the_tables_read_anew():
-    """A leader must not begin on rows that changes are missing from."""
+def test_tables_are_read_again_after_the_history_is_lost():
+    """A leader must not start from rows that lack some of the changes."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
     cell.store.put("jobs", "unreadable", 1, part="jobs-00")
@@ -90,13 +90,13 @@
     assert len(cell.spans) == STEP["count"]
 
 
-def test_answer_that_is_overtaken_changes_nothing():
-    """Two readings of changes may be under way, before and after a claim."""
+def test_outdated_answer_changes_nothing():
+    """Two reads of the changes, from before and after a claim, may be pending at once."""
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
-    warm = cell.daemons[_warm(cell)[0]].context.standby_tables
-    table = warm._tables["jobs"]
+    tables = cell.daemons[_standbys(cell)[0]].context.standby_tables
+    table = tables._tables["jobs"]
     rows, version = dict(table.rows), table.version
-    table.changed([], version + 5)
-    table.changed(list(rows.values()), version + 1)
+    table.apply_changes([], version + 5)
+    table.apply_changes(list(rows.values()), version + 1)
     assert table.version == version + 5
