--- a/anvilflow/cell/tests/test_handover.py
+++ b/anvilflow/cell/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Take-overs beside workers that the next leader cannot ask, or would not even know of."""
+"""Take-overs with workers that the next leader cannot reach, or that are not in the registry."""
 
 import pytest
 from twisted.internet.defer import succeed
@@ -11,13 +11,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_is_cut_off_from_the_store_alone_is_known_to_the_next_leader(
-    monkeypatch, safeguard
-):
-    """A worker does not reach the store: its entry lapses, its tasks run on under their leases.
+def test_worker_that_is_cut_off_only_from_the_store_is_handed_over(monkeypatch, safeguard):
+    """A worker cannot reach the store: its registry entry expires while its tasks keep running.
 
-    Then the leader dies. The next one finds no such worker in the registry. Without the former
-    leader's word it starts the tasks elsewhere while they still run.
+    Then the leader is lost, and the next one does not find the worker in the registry. Without the
+    handover in the leader's row it would start tasks elsewhere that still run.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "make_handover", lambda scheduler, now: [])
@@ -32,11 +30,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_take_over_beside_a_dark_worker_starts_other_tasks_at_once(monkeypatch, safeguard):
-    """A worker is dark, and a second later the leader dies; a clerk's lookup has a second step.
+def test_take_over_with_an_unreachable_worker_starts_other_tasks_at_once(monkeypatch, safeguard):
+    """A worker becomes unreachable, a job of two steps is submitted, and then the leader is lost.
 
-    What the former leader had running on the dark worker stands in its row. Without that, every
-    task of every job waits until the longest lease has ended: 3.2 s.
+    The leader's row names the runs on the unreachable worker. Without that, all tasks of all jobs
+    wait until the longest lease has ended, which takes 3.2 s.
     """
     if not safeguard:
         monkeypatch.setattr(_recorder, "make_handover", lambda scheduler, now: [])
@@ -55,14 +53,16 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_a_dark_worker_waits_for_its_lease_and_no_other_does(monkeypatch, safeguard):
-    """A task runs on a worker that goes dark and runs on; then the leader dies.
+def test_task_on_an_unreachable_worker_is_not_restarted_before_its_lease_ends(
+    monkeypatch, safeguard
+):
+    """A worker becomes unreachable while it runs a task; then the leader is lost.
 
-    The row names the task, so that the next leader leaves it alone until its lease has ended.
-    Without the names it runs twice.
+    The leader's row names the task, so that the next leader does not start it before its lease has
+    ended. Without the names it runs twice.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "adopt_unconfirmed_runs", _forget_runs)
+        monkeypatch.setattr(Scheduler, "adopt_unconfirmed_runs", _ignore_runs)
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="30.0 done 9000")
     cell.advance(1.0)
@@ -74,21 +74,22 @@
     assert len(cell.spans) == 3
 
 
-def _forget_runs(self, worker_id, runs, now):
+def _ignore_runs(self, worker_id, runs, now):
     self.workers[worker_id].runs_known = True
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_was_said_to_be_dark_gets_no_task_before_that_is_taken_back(
+def test_recovered_worker_gets_no_task_while_the_row_names_it_as_unreachable(
     monkeypatch, safeguard
 ):
-    """A dark worker answers again while the store is away; then the leader dies.
+    """An unreachable worker answers again while the store is unavailable; then the leader is lost.
 
-    The row still names what ran there. A task that was started since would not be among it, and
-    the next leader, which the worker does not answer, would start it elsewhere.
+    The leader's row still holds the earlier list of runs on the worker. A task that was started
+    since would be missing there, and the next leader, which cannot reach the worker, would start it
+    elsewhere.
     """
     if not safeguard:
-        monkeypatch.setattr(Worker, "accepts", _accepts_without_word)
+        monkeypatch.setattr(Worker, "accepts", _accepts_before_row_update)
     cell = make_cell(n_instances=3, n_workers=2)
     cell.worker_faults["i-0"].silent = True
     cell.advance(2.0)
@@ -110,18 +111,20 @@
     cell.advance(5.0)
 
 
-def _accepts_without_word(self, now):
+def _accepts_before_row_update(self, now):
     return self.confirmed and self.listed and not self.unreachable and not self.info.draining
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_entries_that_lapse_in_an_outage_do_not_hide_their_workers(monkeypatch, safeguard):
-    """Workers' entries lapse while the store is away, and the leader, which cannot say so, dies.
+def test_registry_entries_that_expire_in_an_outage_do_not_hide_their_workers(
+    monkeypatch, safeguard
+):
+    """Registry entries expire in a store outage; the leader is lost and cannot record them.
 
-    The store returns; the next leader finds no such workers for two seconds, while their tasks run.
-    It knows from the row up to when the former leader had followed the registry, and from the
-    registry's history that entries have gone since: it waits. Without that it starts the tasks a
-    second time.
+    After the outage the next leader does not find these workers for two seconds, while their tasks
+    run. The leader's row gives the version up to which the former leader followed the registry, and
+    the registry's history shows the entries removed since, so that the next leader waits. Without
+    that it starts the tasks a second time.
     """
     if not safeguard:
         monkeypatch.setattr(_leader_state, "find_missing", lambda *args: succeed(frozenset()))
@@ -144,11 +147,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_cut_off_with_a_worker_lets_its_leases_end(monkeypatch, safeguard):
-    """The leader reaches neither store nor instances, but one worker that nobody else reaches.
+def test_leader_that_is_cut_off_with_a_worker_stops_renewing_leases(monkeypatch, safeguard):
+    """The leader reaches no store and no instance, but a worker that no other instance reaches.
 
-    Another instance claims and waits until the leases that it cannot ask about have ended. Were
-    they renewed by the leader that is cut off, their tasks would run in two places.
+    Another instance claims and waits until the leases on the worker that it cannot reach have
+    ended. If the leader that is cut off renewed them, their tasks would run in two places.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "may_send_commands", lambda self: True)
@@ -167,8 +170,8 @@
     assert (cell.check() == []) is safeguard
 
 
-def test_leader_that_loses_the_store_alone_goes_on_ordering():
-    """In an outage for all, the leader hears its workers: leases are renewed and steps follow."""
+def test_leader_that_loses_only_the_store_keeps_scheduling():
+    """In a store outage workers still respond: leases are renewed and the next steps start."""
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, STEP, {**STEP, "after": [0]}, spec="4.0 done 1000")
     cell.advance(0.5)
@@ -177,10 +180,11 @@
     assert [span.how for span in cell.spans] == ["done"] * 8
 
 
-def test_leader_that_was_paused_sends_no_lease_before_it_has_heard_of_anybody():
-    """The leader is paused for ten seconds, and with it the worker's tasks lapse; then it wakes.
+def test_leader_that_was_paused_grants_no_lease_before_it_has_an_answer():
+    """The leader is paused for several seconds, in which leases end, and then resumes.
 
-    Its first holds carry no lease: another leader may wait for the end of the last one meanwhile.
+    Its first lease renewals must not extend a lease: another leader may meanwhile be waiting for
+    the last lease to end.
     """
     cell = make_cell(n_instances=2, n_workers=2)
     leader = cell.leader()
@@ -197,11 +201,11 @@
     )
 
 
-def test_word_of_many_dark_workers_fits_into_the_row():
-    """Half of a large cell is dark, with thousands of small tasks: the row stays within 64 KB.
+def test_handover_of_many_unreachable_workers_fits_into_the_row():
+    """Half of a large cell is unreachable, with thousands of small tasks.
 
-    The store refuses a larger one. All that the leader records is written with it, so that nothing
-    would be recorded any more.
+    The store refuses a row larger than 64 KB. The leader's row is part of every record, so that
+    with a larger row nothing would be recorded any more.
     """
     scheduler = Scheduler(term=1, lease_s=3.0, now=0.0)
     for number in range(100):
@@ -227,11 +231,11 @@
     assert len(encode(handover)) < 60_000
 
 
-def test_task_of_a_job_whose_cancelling_was_lost_is_not_run_again():
-    """The store leaves the leader alone; a client cancels, a task is done, the leader is replaced.
+def test_task_of_a_job_whose_cancellation_was_lost_is_not_run_again():
+    """The leader loses the store; a client cancels a job, its tasks end, the leader is replaced.
 
-    The cancelling was not durable, so that the job goes on at the next leader; the task that is
-    done must not be started there again.
+    The cancellation was not durable, so that the next leader continues the job. It must not start
+    the tasks that are done a second time.
     """
     cell = make_cell(n_instances=3, n_workers=2)
     former = cell.leader()
@@ -248,11 +252,12 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_is_missing_stays_so_for_the_leader_after_the_next(monkeypatch, safeguard):
-    """Entries lapse in an outage, the leader dies, and so does the next one before they are back.
+def test_missing_workers_stay_known_over_two_take_overs(monkeypatch, safeguard):
+    """Registry entries expire in an outage, and two leaders are lost before the entries are back.
 
-    The second of them knows from the row that workers are missing. Without that it would see a
-    registry that the first had followed to its end, and start their tasks a second time.
+    The last leader learns from the leader's row that workers are missing. Without that it would
+    find a registry that its predecessor had followed to the end, and start their tasks a second
+    time.
     """
     if not safeguard:
         original = _leadership.Claimed
@@ -286,15 +291,15 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_no_next_leader_has_heard_is_handed_on(monkeypatch, safeguard):
-    """A worker has left the registry and runs on; it goes dark, and two leaders are lost in a row.
+def test_unconfirmed_worker_is_handed_over_again(monkeypatch, safeguard):
+    """A worker outside the registry becomes unreachable, and two leaders are lost in a row.
 
-    The first one named the worker in its row. The second has not heard it when it is lost, and has
-    to name it all the same: the third finds it nowhere else, and would start its task again while
-    it still runs.
+    The first leader named the worker in its row. The second is lost before the worker has
+    responded, and must have named it all the same: the third finds the worker nowhere else, and
+    would start its task again while it still runs.
     """
     if not safeguard:
-        monkeypatch.setattr(_handover, "_is_hidden", _is_hidden_if_heard)
+        monkeypatch.setattr(_handover, "_is_hidden", _is_hidden_if_confirmed)
     cell = make_cell(n_instances=4, n_workers=3)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="30.0 done 1000")
     cell.advance(1.0)
@@ -310,5 +315,5 @@
     assert len(cell.spans) == 2
 
 
-def _is_hidden_if_heard(worker):
+def _is_hidden_if_confirmed(worker):
     return worker.confirmed and not worker.listed
