--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -187,8 +187,8 @@
 
         An instance that is cut off only from the store cannot read which instance is the leader.
         Without this request it refused all jobs after a change of leader for as long as it was cut
-        off. A refused client retries a second later: 18 of 31 late quick jobs of a soak scenario
-        had waited for that.
+        off. A refused client retries a second later: 18 of 31 late quick jobs of a scenario had
+        waited for that.
         """
         requests = [
             self.context.links.ask_for_leader(address) for address in self._successor_addresses
