--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -268,7 +268,7 @@
             yield writing.wait(self.context.clock, self._answer_timeout_s + self._extra_wait_s)
             if writing.is_known:
                 return None
-            was_unreachable = self.own_store_health.is_bad
+            was_unreachable = self.own_store_health.is_failing
             row = yield self._read_row()
             if self._has_changed(row):
                 return row
@@ -300,8 +300,8 @@
                 timeout=max(READ_TIMEOUT_S, self._answer_timeout_s) + self._extra_wait_s,
             )
         except PlatformError:
-            self.own_store_health.bad()
-            self.context.store_health.bad()
+            self.own_store_health.record_failure()
+            self.context.store_health.record_failure()
             return None
         self._store_answered()
         if row is not None and row.version == self._row_version:
@@ -309,8 +309,8 @@
         return row
 
     def _store_answered(self):
-        self.own_store_health.good()
-        self.context.store_health.good()
+        self.own_store_health.record_answer()
+        self.context.store_health.record_answer()
 
     def _committed(self, snapshot, version):
         self.n_commits += 1
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -154,7 +154,7 @@
     leader = cell.leader()
     term = cell.store.value("home", "home", part="cell")["term"]
     for _ in range(20):
-        cell.daemons[leader].context.store_health.bad()
+        cell.daemons[leader].context.store_health.record_failure()
         cell.advance(0.1)
     assert cell.store.value("home", "home", part="cell")["term"] == term
 
@@ -247,7 +247,7 @@
     ask the successors that the last leader named instead.
     """
     if not safeguard:
-        monkeypatch.setattr(_links, "MAX_ADDRESSES", 0)
+        monkeypatch.setattr(_links, "MAX_SUCCESSOR_ADDRESSES", 0)
     cell = make_cell(n_instances=5)
     former = cell.leader()
     cut_off = [former, next(name for name in cell.daemons if name != former)]
