--- a/anvilflow/__init__.py
+++ b/anvilflow/__init__.py
@@ -1,4 +1,4 @@
-"""Anvilflow: a scheduler for unlike workloads on one shared cluster."""
+"""Anvilflow: a scheduler for service, batch and gang workloads on one shared cluster."""
 
 __version__ = "0.1.0"
 
--- a/anvilflow/__main__.py
+++ b/anvilflow/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m anvilflow``."""
+"""Entry point of the command line, ``python -m anvilflow``."""
 
 from anvilflow.cli import main
 
--- a/anvilflow/exceptions.py
+++ b/anvilflow/exceptions.py
@@ -1,7 +1,7 @@
-"""Every failure that anvilflow reports, each with a stable code.
+"""Exceptions of anvilflow, each with a stable error code.
 
 Codes are grouped by hundreds: 1xx settings and declarations, 2xx resource API, 3xx requests and
-jobs, 4xx the platform and the workers, 5xx messages between instances, 6xx the process itself.
+jobs, 4xx the platform and the workers, 5xx messages between instances, 6xx the process.
 """
 
 __all__ = [
@@ -34,14 +34,14 @@
 
 
 class AnvilflowError(Exception):
-    """Base of all coded failures.
+    """Base class of all exceptions with an error code.
 
     Parameters
     ----------
     message : str
-        What went wrong and what is allowed, in one line.
+        The failure and the allowed values, in one line.
     details : dict, default=None
-        Values that a program may act on, for example the current revision.
+        Values for use by programs, for example the current revision.
     """
 
     code = "AF000"
@@ -54,7 +54,7 @@
         self.details = details
 
     def to_dict(self):
-        """Return the error as the JSON object that every API answers with."""
+        """Return the error as the JSON object that every API uses in its responses."""
         body = {"code": self.code, "message": self.message}
         if self.details:
             body["details"] = self.details
@@ -65,7 +65,7 @@
 
 
 class SettingsError(AnvilflowError):
-    """A settings file is missing, malformed or contradicts itself."""
+    """A settings file is missing, malformed or inconsistent."""
 
     code = "AF101"
     exit_status = 3
@@ -88,7 +88,7 @@
 
 
 class ConflictError(AnvilflowError):
-    """The resource changed since the revision that the write was based on."""
+    """The resource has changed since the revision that the write was based on."""
 
     code = "AF202"
     http_status = 409
@@ -96,7 +96,7 @@
 
 
 class RevisionGoneError(AnvilflowError):
-    """The revision to resume from is no longer kept: list again and watch from there."""
+    """The revision to resume from is no longer kept: list again and watch from the new revision."""
 
     code = "AF203"
     http_status = 410
@@ -104,7 +104,7 @@
 
 
 class NotReadyError(AnvilflowError):
-    """The instance cannot serve yet, for example it has not seen a configuration."""
+    """The instance is not ready to serve, for example because it has no configuration yet."""
 
     code = "AF204"
     http_status = 503
@@ -112,7 +112,7 @@
 
 
 class CallError(AnvilflowError):
-    """A call is malformed: unknown field, wrong type or out of range."""
+    """A call is malformed: it has an unknown field, a wrong type or a value out of range."""
 
     code = "AF301"
     http_status = 400
@@ -120,7 +120,7 @@
 
 
 class JobGoneError(AnvilflowError):
-    """There is no such job: it was never accepted, or its state is no longer kept."""
+    """The job does not exist: it was never accepted, or its state is no longer kept."""
 
     code = "AF304"
     http_status = 410
@@ -128,7 +128,7 @@
 
 
 class UnknownOutcomeError(AnvilflowError):
-    """A job may or may not have been accepted: send it again under the same id."""
+    """A job may or may not have been accepted: send it again with the same id."""
 
     code = "AF305"
     http_status = 504
@@ -144,13 +144,13 @@
 
 
 class OverloadedError(RequestError):
-    """A job was not accepted: it would begin too late to be done when it should be."""
+    """A job was not accepted: it would start too late to end in time."""
 
     code = "AF306"
 
 
 class TaskCrashesWorkersError(AnvilflowError):
-    """A job failed: one of its tasks repeatedly crashes the workers that run it."""
+    """A job failed: one of its tasks repeatedly crashed the workers that ran it."""
 
     code = "AF307"
     http_status = 409
@@ -158,7 +158,7 @@
 
 
 class TooLargeError(AnvilflowError):
-    """A body is over the stated limit."""
+    """The body of a request or reply exceeds the stated limit."""
 
     code = "AF303"
     http_status = 413
@@ -166,7 +166,7 @@
 
 
 class PlatformError(AnvilflowError):
-    """The table, object store or membership list answered with an error."""
+    """The table service, object store or membership service returned an error."""
 
     code = "AF401"
     http_status = 502
@@ -174,73 +174,73 @@
 
 
 class PlatformUnavailableError(PlatformError):
-    """The platform gave no answer: a write may or may not have taken effect."""
+    """The platform did not respond: a write may or may not have taken effect."""
 
     code = "AF402"
     http_status = 503
 
 
 class PlatformRefusedError(PlatformUnavailableError):
-    """The platform was not reached, or refused the call: a write certainly had no effect."""
+    """The platform was not reached or refused the call: a write certainly had no effect."""
 
     code = "AF404"
 
 
 class SlowWriteError(PlatformError):
-    """The store answers, but a write has no answer yet: it may or may not take effect."""
+    """The store responds, but not yet to this write: it may or may not take effect."""
 
     code = "AF405"
     http_status = 504
 
 
 class PreconditionError(PlatformError):
-    """A transaction was refused because a condition on a row did not hold."""
+    """A transaction was rejected because a condition on a row was not met."""
 
     code = "AF403"
     http_status = 409
 
 
 class WorkerRefusedError(AnvilflowError):
-    """A worker refused a call before running anything."""
+    """A worker refused a call and ran nothing."""
 
     code = "AF411"
     http_status = 503
 
 
 class WorkerGoneError(WorkerRefusedError):
-    """Another life of the worker is at its address: what ran in the former one has ended."""
+    """The worker has restarted as a new incarnation: runs of the former incarnation have ended."""
 
     code = "AF413"
 
 
 class WorkerUnreachableError(AnvilflowError):
-    """A worker gave no answer: what was sent may or may not run."""
+    """A worker did not respond: the call may or may not take effect."""
 
     code = "AF412"
     http_status = 504
 
 
 class PayloadGoneError(AnvilflowError):
-    """A job's row names a payload that the store does not have: none of its tasks can start."""
+    """The payload of a job is missing from the store: none of its tasks can start."""
 
     code = "AF414"
 
 
 class FrameError(AnvilflowError):
-    """A frame from another instance is malformed or over the size limit."""
+    """A frame from another instance is malformed or exceeds the size limit."""
 
     code = "AF501"
 
 
 class PeerSilentError(AnvilflowError):
-    """Another instance gave no answer: what it was asked to do may happen."""
+    """Another instance did not respond: the requested operation may or may not take effect."""
 
     code = "AF502"
     http_status = 504
 
 
 class PartError(AnvilflowError):
-    """A part of the process kept failing and the process gives up."""
+    """A part of the process failed repeatedly, so the process exits."""
 
     code = "AF601"
     exit_status = 12
--- a/anvilflow/settings/__init__.py
+++ b/anvilflow/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of one process: JSON with comments, checked before anything starts."""
+"""Settings of one process, read from JSON with comments and checked before the start."""
 
 from ._address import Address, parse_address
 from ._load import check_settings, load_settings, parse_settings
--- a/anvilflow/settings/_address.py
+++ b/anvilflow/settings/_address.py
@@ -1,4 +1,4 @@
-"""Addresses by IP number."""
+"""Network addresses of the form ``IP:PORT``."""
 
 import ipaddress
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
 
 class Address(NamedTuple):
-    """An IP number and a port; port 0 asks the kernel for a free one."""
+    """An IP address and a port; with port 0 the kernel chooses a free port."""
 
     host: str
     port: int
@@ -24,14 +24,14 @@
     Parameters
     ----------
     text : str
-        ``IP:PORT``; a host name is refused, since a process is told its peers by IP number.
+        ``IP:PORT``. Host names are refused, since peers are configured by IP address.
     path : str, default="$"
-        Where the value stands, for the message.
+        Path of the value in the settings, for the error message.
 
     Raises
     ------
     SettingsError
-        AF101, when `text` is no address.
+        AF101, when `text` is not an address.
 
     Examples
     --------
@@ -44,7 +44,7 @@
         ipaddress.ip_address(host)
         number = int(port)
     except ValueError as exc:
-        raise SettingsError(f"{path}: {text!r} is no address; allowed: IP:PORT") from exc
+        raise SettingsError(f"{path}: {text!r} is not an address; allowed: IP:PORT") from exc
     if not 0 <= number <= MAX_PORT:
         raise SettingsError(f"{path}: port {number} is out of range; allowed: 0 to {MAX_PORT}")
     return Address(host, number)
--- a/anvilflow/settings/_load.py
+++ b/anvilflow/settings/_load.py
@@ -1,4 +1,4 @@
-"""Reading and checking a settings file."""
+"""Loading and validation of a settings file."""
 
 from pathlib import Path
 
@@ -10,17 +10,17 @@
 from ._address import parse_address
 from ._model import Settings
 
-#: Renewals that may be lost in a row before a task's lease lapses.
+#: Renewals that must fit into the lease of a task: that many may fail in a row before it expires.
 MIN_RENEWALS_PER_LEASE = 3
 
 
 def load_settings(path):
-    """Read and check the settings file at `path`.
+    """Read and validate the settings file at `path`.
 
     Parameters
     ----------
     path : str or Path
-        A file of JSON with comments.
+        A file in JSON with comments.
 
     Returns
     -------
@@ -29,7 +29,7 @@
     Raises
     ------
     SettingsError
-        AF101, with the path of the key and what is allowed.
+        AF101, with the path of the key and the allowed values.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -40,7 +40,7 @@
 
 
 def parse_settings(text):
-    """Return the checked :class:`Settings` written in `text`."""
+    """Return the validated :class:`Settings` parsed from `text`."""
     try:
         values = json5.loads(text, allow_duplicate_keys=False)
     except (ValueError, RecursionError) as exc:
@@ -53,7 +53,7 @@
 
 
 def check_settings(settings):
-    """Raise AF101 where two keys contradict each other; return `settings`."""
+    """Raise AF101 for an invalid name or address or for conflicting keys; return `settings`."""
     check_name(settings.instance.name, "$.instance.name", error=SettingsError)
     check_name(settings.instance.failure_domain, "$.instance.failure_domain", error=SettingsError)
     check_name(settings.instance.region, "$.instance.region", error=SettingsError)
@@ -86,10 +86,10 @@
             f"$.timing.idle_sync_s: {timing.idle_sync_s} clashes with $.timing.worker_sync_s "
             f"{timing.worker_sync_s}; allowed: at least as long"
         )
-    shortest = MIN_RENEWALS_PER_LEASE * (timing.worker_sync_s + timing.worker_timeout_s)
-    if settings.lease.task_s < shortest:
+    min_lease_s = MIN_RENEWALS_PER_LEASE * (timing.worker_sync_s + timing.worker_timeout_s)
+    if settings.lease.task_s < min_lease_s:
         raise SettingsError(
             f"$.lease.task_s: {settings.lease.task_s} clashes with $.timing.worker_sync_s and "
-            f"$.timing.worker_timeout_s; allowed: at least {shortest:g}, so that "
+            f"$.timing.worker_timeout_s; allowed: at least {min_lease_s:g}, so that "
             f"{MIN_RENEWALS_PER_LEASE} renewals fit into a lease"
         )
--- a/anvilflow/settings/_model.py
+++ b/anvilflow/settings/_model.py
@@ -1,4 +1,4 @@
-"""The shape of a settings file, with unit, default and range of every key."""
+"""Schema of a settings file, with the unit, default and range of each key."""
 
 from typing import Annotated, Literal
 
@@ -10,11 +10,11 @@
 class _Section(
     Struct, kw_only=True, forbid_unknown_fields=True, repr_omit_defaults=True, frozen=True
 ):
-    """Base of all sections: an unknown key is an error, not ignored."""
+    """Base class of all sections; unknown keys are errors."""
 
 
 class InstanceSettings(_Section, frozen=True):
-    """Who the process is."""
+    """Identity and location of the instance."""
 
     name: Annotated[str, Meta(description="Name of the instance, unique in the cell.")]
     failure_domain: Annotated[str, Meta(description="Failure domain the instance runs in.")]
@@ -22,7 +22,7 @@
 
 
 class ListenSettings(_Section, frozen=True):
-    """Addresses the process listens on, each ``IP:PORT``."""
+    """Addresses that the process listens on, each ``IP:PORT``."""
 
     callers: Annotated[str, Meta(description="Callers' API.")]
     operators: Annotated[str, Meta(description="Operators' resource API, metrics and dump.")]
@@ -38,24 +38,24 @@
 
 
 class LimitSettings(_Section, frozen=True):
-    """Bounds on what the process accepts and keeps."""
+    """Limits on sizes, connections and work in progress."""
 
     body_bytes: Annotated[
         int,
         Meta(
             ge=1024,
             le=MAX_COUNT,
-            description="Largest body of a request or an answer. Unit: bytes.",
+            description="Largest body of a request or response. Unit: bytes.",
         ),
     ] = 262_144
     caller_connections: Annotated[
         int, Meta(ge=1, le=MAX_COUNT, description="Open callers' connections.")
     ] = 2_000
     requests_in_flight: Annotated[
-        int, Meta(ge=1, le=MAX_COUNT, description="Requests at one entry instance at once.")
+        int, Meta(ge=1, le=MAX_COUNT, description="Requests in progress at one gateway instance.")
     ] = 4_000
     peer_queue: Annotated[
-        int, Meta(ge=16, le=MAX_COUNT, description="Messages waiting to be sent to one instance.")
+        int, Meta(ge=16, le=MAX_COUNT, description="Messages queued for one other instance.")
     ] = 20_000
     tasks_per_job: Annotated[int, Meta(ge=1, le=MAX_COUNT, description="Tasks of one job.")] = (
         20_000
@@ -65,64 +65,76 @@
         Meta(
             ge=1,
             le=MAX_COUNT,
-            description="Tasks of one customer for which places are asked at once.",
+            description="Tasks of one customer for which places are requested at the same time.",
         ),
     ] = 64
 
 
 class TimingSettings(_Section, frozen=True):
-    """How often the process acts on its own, and how long it waits."""
+    """Periods, time-outs and deadlines."""
 
     heartbeat_s: Annotated[
-        float, Meta(ge=0.02, le=5, description="Between heartbeats to a peer. Unit: seconds.")
+        float, Meta(ge=0.02, le=5, description="Period of heartbeats to a peer. Unit: seconds.")
     ] = 0.25
     suspect_s: Annotated[
         float,
-        Meta(ge=0.1, le=60, description="Silence after which a peer is suspected. Unit: seconds."),
+        Meta(
+            ge=0.1,
+            le=60,
+            description="Time without messages after which a peer is suspected. Unit: seconds.",
+        ),
     ] = 1.5
     membership_poll_s: Annotated[
         float,
-        Meta(ge=0.05, le=60, description="Between reads of the membership list. Unit: seconds."),
+        Meta(ge=0.05, le=60, description="Period of reads of the membership list. Unit: seconds."),
     ] = 1.0
     config_poll_s: Annotated[
         float,
         Meta(
             ge=0.05,
             le=60,
-            description="Between reads of the configuration revision. Unit: seconds.",
+            description="Period of reads of the configuration revision. Unit: seconds.",
         ),
     ] = 2.0
     worker_sync_s: Annotated[
         float,
         Meta(
-            ge=0.05, le=30, description="Between reports and renewals of one worker. Unit: seconds."
+            ge=0.05,
+            le=30,
+            description="Period of reports and lease renewals of one worker. Unit: seconds.",
         ),
     ] = 0.5
     idle_sync_s: Annotated[
         float,
-        Meta(ge=0.05, le=30, description="The same for a worker without tasks. Unit: seconds."),
+        Meta(
+            ge=0.05, le=30, description="The same period for a worker without tasks. Unit: seconds."
+        ),
     ] = 2.0
     worker_timeout_s: Annotated[
         float,
         Meta(
             ge=0.1,
             le=60,
-            description="Wait for a worker's answer to a control call. Unit: seconds.",
+            description="Time-out of a control call to a worker. Unit: seconds.",
         ),
     ] = 2.0
     platform_timeout_s: Annotated[
-        float, Meta(ge=0.1, le=60, description="Wait for the platform's answer. Unit: seconds.")
+        float, Meta(ge=0.1, le=60, description="Time-out of a call to the platform. Unit: seconds.")
     ] = 2.0
     default_deadline_s: Annotated[
         float,
-        Meta(ge=0.05, le=600, description="Deadline of a request that names none. Unit: seconds."),
+        Meta(
+            ge=0.05,
+            le=600,
+            description="Deadline of a request that does not set one. Unit: seconds.",
+        ),
     ] = 10.0
     hold_s: Annotated[
         float,
         Meta(
             ge=0.2,
             le=60,
-            description="Longest wait of a task's hold before it is asked anew. Unit: seconds.",
+            description="Longest wait of a task's hold before a new request. Unit: seconds.",
         ),
     ] = 3.0
     drain_s: Annotated[
@@ -142,12 +154,12 @@
         float, Meta(ge=1, le=3600, description="Lease of a running task. Unit: seconds.")
     ] = 15.0
     clock_drift: Annotated[
-        float, Meta(ge=0, le=0.1, description="Largest rate by which two clocks differ.")
+        float, Meta(ge=0, le=0.1, description="Largest relative difference in rate of two clocks.")
     ] = 0.01
 
 
 class StoreSettings(_Section, frozen=True):
-    """How task and job records are written."""
+    """Writes of task and job records to the store."""
 
     commit_s: Annotated[
         float, Meta(ge=0, le=5, description="Least time between two commits. Unit: seconds.")
@@ -158,7 +170,9 @@
     backoff_max_s: Annotated[
         float,
         Meta(
-            ge=0.1, le=60, description="Longest wait between attempts in an outage. Unit: seconds."
+            ge=0.1,
+            le=60,
+            description="Longest back-off between attempts during an outage. Unit: seconds.",
         ),
     ] = 2.0
 
