--- a/anvilflow/logs/__init__.py
+++ b/anvilflow/logs/__init__.py
@@ -1,6 +1,6 @@
-"""Structured logs: one JSON object a line on standard output, bounded and never blocking."""
+"""Structured logs as JSON lines, rate-limited and non-blocking, and explanations of single jobs."""
 
-from ._explain import Line, explain_job, lines_of_job, read_log
+from ._explain import Line, explain_job, read_log, select_job_lines
 from ._json_lines import JsonLinesHandler, install_json_logs
 
 __all__ = [
@@ -8,6 +8,6 @@
     "Line",
     "explain_job",
     "install_json_logs",
-    "lines_of_job",
     "read_log",
+    "select_job_lines",
 ]
--- a/anvilflow/logs/_explain.py
+++ b/anvilflow/logs/_explain.py
@@ -1,15 +1,15 @@
-"""What happened to one job, from the log lines of several instances."""
+"""History of one job, reconstructed from the log lines of several instances."""
 
 import json
 from itertools import pairwise
 
 from msgspec import Struct
 
-#: A pause between two steps of a job's way that is worth a word. Unit: seconds.
-LONG_S = 0.25
+#: Shortest pause between two events of a job that is reported as a cause of delay. Unit: seconds.
+LONG_PAUSE_S = 0.25
 
-#: Lines without a job that can delay any job.
-_AROUND = {
+#: Events of the cell that can delay any job, with their texts.
+_CELL_EVENTS = {
     "claimed": "{instance} became the home: {why}",
     "home begins": "{instance} is the home and knows of {jobs} jobs",
     "home ends": "{instance} is no longer the home",
@@ -17,8 +17,8 @@
     "store answers again": "the store answers {instance} again, after {after_s} s",
 }
 
-#: Lines of a job.
-_OF_JOB = {
+#: Events of a single job, with their texts.
+_JOB_EVENTS = {
     "job accepted": "accepted: its row is durable at version {version}",
     "job's row unanswered": "the store gave no answer to the write of its row: {error}",
     "job's row not written in time": "the store answers, but had not written its row in time",
@@ -43,7 +43,7 @@
 
 
 class Line(Struct, kw_only=True):
-    """One log line. Unit of `at`: seconds, time of day."""
+    """One parsed log line; `at` is the time of day in seconds."""
 
     at: float
     event: str
@@ -51,7 +51,7 @@
 
 
 def read_log(lines):
-    """Yield the :class:`Line` of each text line that holds one, whatever stands around it."""
+    """Yield a :class:`Line` for each text line that holds a log record; skip all other lines."""
     for text in lines:
         start = text.find("{")
         if start < 0:
@@ -60,36 +60,36 @@
             values = json.loads(text[start:])
             yield Line(at=float(values["at"]), event=values["event"], values=values)
         except (ValueError, KeyError, TypeError):
-            # Other programs may write to the same file, and a line may be cut off at its end.
+            # Other programs may write to the same file, and the last line may be truncated.
             continue
 
 
-def lines_of_job(job_id, lines):
-    """Return a job's lines in order, with those between them that can delay any job."""
+def select_job_lines(job_id, lines):
+    """Return the lines of a job and the events of the cell between them, ordered by time."""
     kept = sorted(
-        (line for line in lines if line.event in _AROUND or _is_of_job(line, job_id)),
+        (line for line in lines if line.event in _CELL_EVENTS or _belongs_to_job(line, job_id)),
         key=lambda line: line.at,
     )
-    own = [line.at for line in kept if _is_of_job(line, job_id)]
+    own = [line.at for line in kept if _belongs_to_job(line, job_id)]
     if not own:
         return []
     return [line for line in kept if own[0] <= line.at <= own[-1]]
 
 
-def _is_of_job(line, job_id):
+def _belongs_to_job(line, job_id):
     values = line.values
     names = [values.get("task", ""), values.get("step", ""), *(values.get("tasks") or ())]
     return job_id == values.get("job") or any(str(name).startswith(f"{job_id}.") for name in names)
 
 
 def explain_job(job_id, lines):
-    """Return what happened to a job as lines of text; the last ones say what held it up.
+    """Return the history of a job as lines of text; the last lines list the causes of delay.
 
     Parameters
     ----------
     job_id : str
     lines : iterable of Line
-        Of all instances, in any order.
+        Log lines of all instances, in any order.
 
     Examples
     --------
@@ -97,28 +97,30 @@
     >>> explain_job("b1", read_log([line]))[0]
     '   0.000 a1: accepted: its row is durable at version 7'
     """
-    found = lines_of_job(job_id, lines)
+    found = select_job_lines(job_id, lines)
     if not found:
         return [f"no line tells of {job_id}: look into the logs of the other instances"]
     began = found[0].at
-    words = [f"{line.at - began:8.3f} {line.values['instance']}: {_say(line)}" for line in found]
-    return words + _conclude(found)
+    described = [
+        f"{line.at - began:8.3f} {line.values['instance']}: {_format_line(line)}" for line in found
+    ]
+    return described + _list_causes(found)
 
 
-def _say(line):
-    text = _OF_JOB.get(line.event) or _AROUND.get(line.event) or line.event
+def _format_line(line):
+    text = _JOB_EVENTS.get(line.event) or _CELL_EVENTS.get(line.event) or line.event
     try:
         return text.format(**line.values)
     except KeyError:
         return line.event
 
 
-def _conclude(found):
-    causes = [*_say_refusals(found), *_say_pauses(found), *_say_repeats(found)]
+def _list_causes(found):
+    causes = [*_find_refusals(found), *_find_pauses(found), *_find_repeats(found)]
     return [f"=> {cause}" for cause in causes] or ["=> nothing held it up"]
 
 
-def _say_refusals(found):
+def _find_refusals(found):
     if any(line.event == "job accepted" for line in found):
         return
     for line in found:
@@ -133,11 +135,11 @@
                 return
 
 
-def _say_pauses(found):
-    milestones = [line for line in found if line.event not in _AROUND]
+def _find_pauses(found):
+    milestones = [line for line in found if line.event not in _CELL_EVENTS]
     for before, after in pairwise(milestones):
         pause = after.at - before.at
-        if pause < LONG_S:
+        if pause < LONG_PAUSE_S:
             continue
         between = [line for line in found if before.at <= line.at <= after.at]
         match before.event, after.event:
@@ -153,7 +155,7 @@
                 yield f"{pause:.2f} s until its end was durable: the store was slow or away"
 
 
-def _say_repeats(found):
+def _find_repeats(found):
     stops = [line for line in found if line.event == "stop"]
     for why in dict.fromkeys(line.values["why"] for line in stops):
         n_stops = sum(line.values["why"] == why for line in stops)
--- a/anvilflow/logs/_json_lines.py
+++ b/anvilflow/logs/_json_lines.py
@@ -1,4 +1,4 @@
-"""A logbook handler that writes JSON lines without ever waiting for the reader."""
+"""Logbook handler that writes JSON lines and never blocks on the reader."""
 
 import os
 import time
@@ -7,27 +7,28 @@
 
 from ..utils import encode
 
-#: Lines of one kind a second; what is over is counted and said with the kind's next line. The
-#: busiest kind, starts of tasks, comes some 600 times in the second of a burst on 176 workers.
-LINES_PER_SECOND = 1000
+#: Limit on lines of one kind per second. Lines over the limit are dropped, and their number is
+#: reported in the next line that is written. The most frequent kind, starts of tasks, reaches about
+#: 600 lines per second in a burst on 176 workers.
+MAX_LINES_PER_SECOND = 1000
 
 
 class JsonLinesHandler(Handler):
-    """Writes each record as one JSON object.
+    """Handler that writes each record as one JSON object on a line.
 
     Parameters
     ----------
     fd : int
-        Descriptor to write to; it is made non-blocking.
+        File descriptor to write to; it is set to non-blocking mode.
     instance : str
-        Name of the instance, in every line.
+        Name of the instance, written in every line.
     clock : callable, default=time.time
         Time of day. Unit: seconds.
 
     Notes
     -----
-    A reader that stops reading costs lines, not service: a write that would block is dropped and
-    counted, and the count goes out with the next line that can be written.
+    A reader that stops reading does not block the process: a line whose write would block is
+    dropped and counted, and the count is written with the next line that succeeds.
     """
 
     def __init__(self, *, fd, instance, clock=time.time, level=NOTSET):
@@ -67,7 +68,7 @@
             self._second = second
             self._counts.clear()
         self._counts[kind] = self._counts.get(kind, 0) + 1
-        return self._counts[kind] <= LINES_PER_SECOND
+        return self._counts[kind] <= MAX_LINES_PER_SECOND
 
 
 def install_json_logs(instance, *, level, fd=1):
--- a/anvilflow/logs/tests/test_json_lines.py
+++ b/anvilflow/logs/tests/test_json_lines.py
@@ -1,4 +1,4 @@
-"""Logs are JSON lines, bounded, and never hold the process up."""
+"""Logs are JSON lines, limited in rate, and never block the process."""
 
 import os
 
@@ -9,12 +9,12 @@
 
 
 def read_lines(fd):
-    """Return the objects that wait in a pipe."""
+    """Return the objects that are buffered in a pipe."""
     return [decode_lenient(line) for line in os.read(fd, 1_000_000).splitlines()]
 
 
-def test_record_becomes_one_object():
-    """Fields of the call stand beside the event's name, its part and the instance."""
+def test_record_is_written_as_one_json_object():
+    """The record holds the keyword fields of the log call, the event, the part and the instance."""
     reader, writer = os.pipe()
     handler = JsonLinesHandler(fd=writer, instance="a1", clock=lambda: 5.0)
     with handler.applicationbound():
@@ -31,8 +31,8 @@
     }
 
 
-def test_reader_that_stops_costs_lines_and_no_time():
-    """Nobody reads the pipe: what would block is dropped, counted, and the count is said."""
+def test_lines_are_dropped_when_the_reader_stops():
+    """A full pipe does not block the process: lines are dropped and counted in the next line."""
     reader, writer = os.pipe()
     handler = JsonLinesHandler(fd=writer, instance="a1", clock=lambda: 5.0)
     log = Logger("home")
@@ -47,10 +47,10 @@
     assert read_lines(reader)[-1]["dropped"] == dropped
 
 
-def test_volume_of_a_kind_is_bounded(monkeypatch):
-    """A kind of line that comes too often is left out, and the next second says how often."""
-    # As many lines as a pipe holds that nobody reads meanwhile.
-    monkeypatch.setattr(_json_lines, "LINES_PER_SECOND", 200)
+def test_rate_of_lines_of_one_kind_is_limited(monkeypatch):
+    """Lines over the limit per second are dropped; the next second's first line has their count."""
+    # Few enough lines to fit into the buffer of a pipe that is not read meanwhile.
+    monkeypatch.setattr(_json_lines, "MAX_LINES_PER_SECOND", 200)
     reader, writer = os.pipe()
     now = [5.0]
     handler = JsonLinesHandler(fd=writer, instance="a1", clock=lambda: now[0])
