--- a/anvilflow/peers/__init__.py
+++ b/anvilflow/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Messages and connections between instances."""
+"""Message framing and connections between instances."""
 
 from ._codec import MAX_FRAME_BYTES, body_of, decode_frame, encode_frame, wrap
 from ._link import Link, LinkFactory
--- a/anvilflow/peers/_link.py
+++ b/anvilflow/peers/_link.py
@@ -1,4 +1,4 @@
-"""One framed connection to another instance."""
+"""Framed connection to another instance."""
 
 from collections import deque
 
@@ -11,29 +11,31 @@
 from ._codec import MAX_FRAME_BYTES, decode_frame, encode_frame
 from .gen.ttypes import Heartbeat, Hello
 
-#: Messages in one frame at the most, so that one frame does not hold up a heartbeat for long.
+#: Largest number of messages in one frame, which limits how long a frame can delay a heartbeat.
 _MESSAGES_PER_FRAME = 128
 
 
 @implementer(IPushProducer)
 class Link(Int32StringReceiver):
-    """A connection with a bounded send queue and a check for silence.
+    """A connection with a bounded send queue that records when the peer last sent a frame.
 
     Parameters
     ----------
     hello : Hello
-        What this instance says of itself.
+        Description of this instance, sent first on the connection.
     clock : IReactorTime
     queue_limit : int
-        Messages that wait to be sent at the most.
+        Largest number of messages in the send queue; heartbeats are exempt.
     events : object
-        Its ``link_up(link)``, ``link_down(link)``, ``link_heard(link, body)`` are called.
+        Receives the calls ``link_up(link)``, ``link_down(link)``, ``link_heard(link, body)`` and
+        ``link_broken(link, error)``.
 
     Notes
     -----
-    Messages of one reactor turn go out in one write. When the peer reads slowly the transport
-    asks the link to pause: messages then wait in the queue, and beyond its limit they are refused
-    to the sender, who must answer its own caller, instead of growing without bound.
+    Messages sent in one iteration of the reactor are written together. When the peer reads slowly,
+    the transport pauses the link, and messages stay in the queue. When the queue is full, ``send``
+    refuses further messages, so that memory stays bounded; the sender must then report the failure
+    to its own caller.
     """
 
     MAX_LENGTH = MAX_FRAME_BYTES
@@ -44,7 +46,7 @@
         self.queue_limit = queue_limit
         self.events = events
         self.peer = None
-        #: Set by who dialled: fires with the link when the other end has said hello.
+        #: Deferred set by the dialling side; fires with the link when the peer's Hello arrives.
         self.ready = None
         self.heard_at = clock.seconds()
         self.n_sent = 0
@@ -58,7 +60,7 @@
 
     @property
     def n_queued(self):
-        """Messages that wait to be sent."""
+        """Number of messages in the send queue."""
         return len(self._queue)
 
     # Transport events
@@ -85,7 +87,7 @@
             self.abort()
             return
         for body in bodies:
-            self._received(body)
+            self._handle_message(body)
 
     def lengthLimitExceeded(self, length):
         self.events.link_broken(self, FrameError(f"a frame of {length} bytes is too large"))
@@ -101,10 +103,10 @@
     def stopProducing(self):
         self._paused = True
 
-    # Use
+    # Sending and closing
 
     def send(self, body):
-        """Queue a message; return False when the link is closed or its queue is full."""
+        """Queue a message; return False when the link is not open or its queue is full."""
         if self._closed or self.peer is None:
             return False
         if len(self._queue) >= self.queue_limit and not isinstance(body, Heartbeat):
@@ -114,11 +116,11 @@
         return True
 
     def abort(self):
-        """Drop the connection at once, without waiting for a silent peer to take its end."""
+        """Close the connection at once, without waiting for the peer to close its end."""
         if self.transport is not None:
             self.transport.abortConnection()
 
-    def _received(self, body):
+    def _handle_message(self, body):
         self.n_received += 1
         if isinstance(body, Hello):
             self.peer = body
@@ -144,7 +146,7 @@
 
 
 class LinkFactory(Factory):
-    """Builds a :class:`Link` per connection, dialled or accepted."""
+    """Builds a :class:`Link` for each connection, dialled or accepted."""
 
     noisy = False
 
--- a/anvilflow/peers/tests/test_codec.py
+++ b/anvilflow/peers/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Frames between instances: round trips, and malformed ones."""
+"""Encoding of frames between instances: round trips and malformed frames."""
 
 import pytest
 from hypothesis import HealthCheck, given, settings
@@ -18,7 +18,7 @@
 
 
 def make_bodies():
-    """Return messages of several kinds."""
+    """Return message bodies of several types."""
     shape = Shape(cpu_milli=16_000, memory_mb=32_768, accelerators=0, slots=8)
     digest = Digest(
         n_workers=3,
@@ -63,6 +63,6 @@
         assert exc.code == "AF501"
 
 
-def test_frame_without_a_known_body_is_refused():
+def test_frame_without_known_body_is_refused():
     with pytest.raises(FrameError):
         decode_frame(b"\x19\x1c\x00\x00")
--- a/anvilflow/runtime/__init__.py
+++ b/anvilflow/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""What every process is built of: supervised parts, their bus, the reactor's sockets."""
+"""Runtime of a process: supervised parts, the message bus between them, clock and sockets."""
 
 from ._bus import Bus
 from ._clock import use_steady_clock
--- a/anvilflow/runtime/_bus.py
+++ b/anvilflow/runtime/_bus.py
@@ -1,19 +1,20 @@
-"""Messages between the parts of one process."""
+"""Message bus between the parts of one process."""
 
 from collections import deque
 from contextlib import contextmanager
 
 
 class Bus:
-    """Hands each message to the part that handles its type, in the order of posting.
+    """Delivers each message to the parts that subscribed to its type, in the order of posting.
 
-    A message posted while another is handled waits until that is done: no part is entered twice,
-    so none needs a lock or sees another's half-made change.
+    A message that is posted while another message is handled is queued until that handler returns.
+    Handlers are therefore never re-entered, so parts need no locks and never observe a partial
+    change of another part.
 
     Parameters
     ----------
     on_failure : callable
-        Called with the part and the exception when a handler fails.
+        Called with the part and the exception when a handler raises.
     """
 
     def __init__(self, *, on_failure):
@@ -24,7 +25,7 @@
 
     @contextmanager
     def subscribed(self, kind, part, handler):
-        """Hand messages of type `kind` to `handler(source, message)` inside the context."""
+        """Deliver messages of type `kind` to `handler(source, message)` within the context."""
         entry = (part, handler)
         handlers = self._handlers.setdefault(kind, [])
         handlers.append(entry)
@@ -34,7 +35,7 @@
             handlers.remove(entry)
 
     def post(self, message, source=None):
-        """Deliver a message; `source` is the instance it comes from, None for this one."""
+        """Deliver a message; `source` is the instance that sent it, or None for this instance."""
         self._queue.append((source, message))
         if self._draining:
             return
@@ -49,5 +50,5 @@
         for part, handler in tuple(self._handlers.get(type(message), ())):
             try:
                 handler(source, message)
-            except Exception as exc:  # any fault of a part is the supervisor's to deal with
+            except Exception as exc:  # the supervisor handles every fault of a part
                 self.on_failure(part, exc)
--- a/anvilflow/runtime/_clock.py
+++ b/anvilflow/runtime/_clock.py
@@ -1,20 +1,21 @@
-"""The clock that timers, leases and time limits run on."""
+"""Clock of the timers, leases and time limits of a process."""
 
 import time
 
 
 def use_steady_clock(reactor):
-    """Let a reactor take its time from a clock that no step of the time of day moves.
+    """Make a reactor use a clock that steps of the time of day do not affect.
 
-    Its own is the time of day. Set back, all timers stood still for the size of the step; set
-    ahead, leases that still ran seemed to have ended, and their tasks were started a second time.
-    The clock chosen also counts the time for which a machine is suspended: other machines' clocks
-    went on, and a home that did not see the gap would go on sending orders as if it still were one.
+    By default the reactor uses the time of day. When that is set back, all timers stall for the
+    size of the step. When it is set ahead, valid leases appear to have expired, and their tasks
+    are started a second time. The clock used here also counts time during which the machine is
+    suspended. Without that, a leader that resumes would not notice that its leadership may have
+    expired by the clocks of other machines, and would continue to send commands.
 
     Parameters
     ----------
     reactor : IReactorTime
-        Nothing may be scheduled on it yet.
+        Must not have any scheduled calls yet.
     """
     reactor.seconds = _seconds
 
--- a/anvilflow/runtime/_part.py
+++ b/anvilflow/runtime/_part.py
@@ -1,4 +1,4 @@
-"""Base of the parts of a process."""
+"""Base class of the parts of a process."""
 
 from contextlib import ExitStack
 
@@ -8,7 +8,10 @@
 
 
 class Part:
-    """A task that owns its state and sockets and talks by messages.
+    """A component of the process that a :class:`Supervisor` starts, stops and restarts.
+
+    A part owns its state, timers and sockets. It exchanges messages with the other parts of the
+    process over the bus, and with other instances over the peer connections.
 
     Parameters
     ----------
@@ -17,8 +20,9 @@
 
     Notes
     -----
-    ``start`` opens, an exit stack closes: a part that is restarted begins with nothing of its
-    former self, and what it needs it reads anew from the table, the workers or its peers.
+    ``start`` opens the resources of the part, and an exit stack closes them. A restart builds a new
+    object without the state of the failed one. The new part reads the state that it needs from the
+    table, the workers or its peers.
     """
 
     prefix = "part"
@@ -30,30 +34,30 @@
 
     @property
     def now(self):
-        """The process's time. Unit: seconds."""
+        """Current time of the process's clock. Unit: seconds."""
         return self.context.clock.seconds()
 
     def start(self):
-        """Open what the part owns; may return a Deferred."""
+        """Open the resources of the part; may return a Deferred."""
 
     def stop(self):
-        """Close what the part owns; may return a Deferred."""
+        """Close the resources of the part; may return a Deferred."""
         self._stack.close()
 
     def dump(self):
-        """Return the part's state as plain values for the dump."""
+        """Return the state of the part as plain values, for the dump of the process."""
         return {}
 
     def on(self, kind, handler):
-        """Handle messages of type `kind` until the part stops."""
+        """Call `handler(source, message)` for messages of type `kind` until the part stops."""
         self._stack.enter_context(self.context.bus.subscribed(kind, self, handler))
 
     def post(self, message):
-        """Send a message to the parts of this process."""
+        """Post a message to the parts of this process."""
         self.context.bus.post(message)
 
     def send(self, instance, body):
-        """Send a message to another instance, or to this one; return False when it cannot go."""
+        """Send a message to an instance, also to this one; return False when it cannot be sent."""
         return self.context.send(instance, body)
 
     def every(self, period, call, *, delay=0.0):
@@ -64,9 +68,9 @@
         return ticker
 
     def later(self, delay, call, *args):
-        """Call once after `delay` seconds; return the delayed call."""
+        """Call `call(*args)` once after `delay` seconds; return the delayed call."""
         return self.context.clock.callLater(delay, call, *args)
 
     def fail_with(self, failure):
-        """Report a fault of the part to its supervisor."""
+        """Report a Failure of the part to its supervisor."""
         self.context.bus.on_failure(self, failure.value)
--- a/anvilflow/runtime/_supervisor.py
+++ b/anvilflow/runtime/_supervisor.py
@@ -1,4 +1,4 @@
-"""Starts parts, restarts those that fail, and gives up on those that keep failing."""
+"""Supervisor that starts the parts of a process, restarts failed parts and limits restarts."""
 
 from typing import Protocol
 
@@ -8,11 +8,11 @@
 
 from ..exceptions import PartError
 
-#: Wait before the first restart, doubled each time. Unit: seconds.
+#: Delay before the first restart, doubled with each further restart up to the maximum.
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 5.0
 
-#: Restarts within the window after which the process gives up.
+#: Restarts of one part that are allowed within the window; one more fault ends the process.
 MAX_RESTARTS = 5
 RESTART_WINDOW_S = 60.0
 
@@ -22,17 +22,17 @@
         """Start the part."""
 
     def fault(self) -> None:
-        """The part failed."""
+        """Handle a fault of the part."""
 
     def elapsed(self) -> None:
-        """The backoff is over."""
+        """Handle the end of the back-off."""
 
     def halt(self) -> None:
-        """Stop for good."""
+        """Stop the part without a restart."""
 
 
 class _Child:
-    """One part under supervision: what the states of its lifecycle act on."""
+    """One supervised part: the data that the transitions of its lifecycle act on."""
 
     def __init__(self, *, name, make, supervisor):
         self.name = name
@@ -89,7 +89,7 @@
     child.close()
 
 
-# A fault that is reported while the part is already down changes nothing.
+# Inputs that have no effect in these states, such as a fault of a part that is already stopped.
 _waiting.upon(_Lifecycle.fault).loop().returns(None)
 _halted.upon(_Lifecycle.fault).loop().returns(None)
 _halted.upon(_Lifecycle.elapsed).loop().returns(None)
@@ -100,15 +100,15 @@
 
 
 class Supervisor:
-    """The parts of a process, started in order and stopped in reverse.
+    """Starts the parts of a process in order and stops them in reverse order.
 
     Parameters
     ----------
     clock : IReactorTime
     name : str
-        Prefix of the log.
+        Prefix of the logger's name.
     give_up : callable
-        Called with a :class:`PartError` when a part failed more than ``MAX_RESTARTS`` times
+        Called with a :class:`PartError` when a part fails more than ``MAX_RESTARTS`` times
         within ``RESTART_WINDOW_S``.
     """
 
@@ -122,13 +122,13 @@
         self._machines = {}
 
     def add(self, name, make):
-        """Supervise the part that `make` builds."""
+        """Add a part to supervise; `make` builds a new instance of the part for each start."""
         child = _Child(name=name, make=make, supervisor=self)
         self._children[name] = child
         self._machines[name] = _machine(child)
 
     def part(self, name):
-        """Return the running part `name` or None."""
+        """Return the running part `name`, or None while it is not running."""
         return self._children[name].part
 
     def parts(self):
@@ -136,31 +136,31 @@
         return {name: child.part for name, child in self._children.items() if child.part}
 
     def restarts(self):
-        """Return the number of restarts by name of part."""
+        """Return the number of restarts of each part by name."""
         return {name: child.n_restarts for name, child in self._children.items()}
 
     def start(self):
-        """Start all parts in the order of adding."""
+        """Start all parts in the order in which they were added."""
         for machine in self._machines.values():
             machine.launch()
 
     def stop(self):
-        """Stop all parts in reverse; the Deferred fires when all have ended."""
+        """Stop all parts in reverse order; the Deferred fires when all have stopped."""
         self.closing = []
         for name in reversed(list(self._machines)):
             self._machines[name].halt()
         return DeferredList([done for done in self.closing if done is not None])
 
     def on_failure(self, part, exc):
-        """Restart the part that failed, unless it has failed too often."""
+        """Log the failure of a running part, then schedule its restart or give up."""
         for name, child in self._children.items():
             if child.part is part:
-                self.log.exception("Part {} failed: {!r}.", name, exc, exc_info=_info(exc))
+                self.log.exception("Part {} failed: {!r}.", name, exc, exc_info=_exc_info(exc))
                 self._machines[name].fault()
                 return
 
     def schedule_restart(self, child):
-        """Restart the child after its backoff, or give up."""
+        """Schedule a restart after the back-off, or give up after too many faults in the window."""
         now = self.clock.seconds()
         child.faults = [at for at in child.faults if now - at < RESTART_WINDOW_S] + [now]
         if len(child.faults) > MAX_RESTARTS:
@@ -175,5 +175,5 @@
         child.delayed = self.clock.callLater(delay, self._machines[child.name].elapsed)
 
 
-def _info(exc):
+def _exc_info(exc):
     return (type(exc), exc, exc.__traceback__)
--- a/anvilflow/runtime/tests/test_supervisor.py
+++ b/anvilflow/runtime/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""A part that fails is restarted with backoff; one that keeps failing ends the process."""
+"""A failed part is restarted with back-off; a part that keeps failing ends the process."""
 
 from twisted.internet.task import Clock
 
@@ -16,15 +16,15 @@
         type(self).made += 1
 
     def start(self):
-        """Nothing to open."""
+        """Open nothing."""
 
     def stop(self):
-        """Count."""
+        """Count the stop."""
         type(self).stopped += 1
 
 
 def make_supervisor():
-    """Return a clock, a supervisor of one fresh kind of part, that kind, and what it gave up on."""
+    """Return a clock, a supervisor of one part, the class of the part and the list of give-ups."""
     kind = type("Part", (FailingPart,), {"made": 0, "stopped": 0})
     clock, given_up = Clock(), []
     supervisor = Supervisor(clock=clock, name="test", give_up=given_up.append)
@@ -33,7 +33,7 @@
     return clock, supervisor, kind, given_up
 
 
-def test_supervisor_restarts_after_a_growing_backoff():
+def test_supervisor_restarts_part_with_growing_backoff():
     clock, supervisor, kind, given_up = make_supervisor()
     for backoff in (0.1, 0.2, 0.4):
         supervisor.on_failure(supervisor.part("part"), ValueError("fault"))
@@ -45,7 +45,7 @@
     assert (kind.made, kind.stopped, given_up) == (4, 3, [])
 
 
-def test_supervisor_gives_up_on_a_part_that_keeps_failing():
+def test_supervisor_gives_up_on_part_that_keeps_failing():
     clock, supervisor, _, given_up = make_supervisor()
     for _ in range(6):
         supervisor.on_failure(supervisor.part("part"), ValueError("fault"))
@@ -54,7 +54,7 @@
     assert given_up[0].code == "AF601"
 
 
-def test_supervisor_forgets_faults_that_are_long_past():
+def test_supervisor_ignores_faults_outside_the_restart_window():
     clock, supervisor, _, given_up = make_supervisor()
     for _ in range(20):
         supervisor.on_failure(supervisor.part("part"), ValueError("fault"))
@@ -62,7 +62,7 @@
     assert given_up == []
 
 
-def test_stop_during_a_backoff_starts_nothing_more():
+def test_stop_during_backoff_cancels_the_restart():
     clock, supervisor, kind, _ = make_supervisor()
     supervisor.on_failure(supervisor.part("part"), ValueError("fault"))
     supervisor.stop()
