--- a/anvilflow/cell/_entry.py
+++ b/anvilflow/cell/_entry.py
@@ -233,7 +233,7 @@
         )
         health.answer_s = self.now - began
         health.good()
-        self.context.meters.timed("accept", self.now - began)
+        self.context.meters.record_duration("accept", self.now - began)
         return version
 
     def _retry_after(self):
--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -149,7 +149,7 @@
         return self.starts.n_open
 
     def _send_start(self, action, waited_s):
-        self.context.meters.timed("start_wait", waited_s)
+        self.context.meters.record_duration("start_wait", waited_s)
         job_id = action.task.partition(".")[0]
         self.log.info(
             "start",
--- a/anvilflow/cell/_home.py
+++ b/anvilflow/cell/_home.py
@@ -203,7 +203,7 @@
         self._load_beat.close()
         self._n_failed_loads = 0
         self.context.home = self
-        self.context.meters.timed("load", self.now - claimed_at)
+        self.context.meters.record_duration("load", self.now - claimed_at)
         self.log.info(
             "home begins",
             term=claimed.term,
@@ -391,7 +391,7 @@
         scheduler.n_advisers = self._advisers.n_advisers
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_starts():
-            self.context.meters.timed("first_start", seconds)
+            self.context.meters.record_duration("first_start", seconds)
         n_wanted = self._fleet.n_wanted_starts()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
         if scheduler.holds_starts:
@@ -443,7 +443,7 @@
     def _advised(self, advice, action, scheduler, asked_at):
         if self._scheduler is not scheduler:
             return
-        self.context.meters.timed("advice", self.now - asked_at)
+        self.context.meters.record_duration("advice", self.now - asked_at)
         if advice is None:
             scheduler.advised(action.step, action.workers, None, 0.0, self.now)
         else:
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -309,7 +309,7 @@
         ended = []
         for job, change, _ in snapshot:
             if job.changed_at is not None:
-                self.context.meters.timed("record", now - job.changed_at)
+                self.context.meters.record_duration("record", now - job.changed_at)
             # A job that ended while this was on its way is not durable by it.
             if self.scheduler.recorded(job.job_id, change, now):
                 self._written.discard(job.job_id)
--- a/anvilflow/metrics/__init__.py
+++ b/anvilflow/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Waiting times and counts of a process."""
+"""Counters, durations and waiting times of a process, and its metrics page."""
 
 from ._meters import COUNTS, TIMES, Meters
 from ._metrics import Metrics, summarize
--- a/anvilflow/metrics/_meters.py
+++ b/anvilflow/metrics/_meters.py
@@ -1,4 +1,4 @@
-"""What one instance of a cell counts and times, and its page of metrics."""
+"""Counters and durations of one instance of a cell, and its metrics page."""
 
 import resource
 from collections import Counter
@@ -6,13 +6,13 @@
 from hdrh.histogram import HdrHistogram
 
 _MICROSECONDS = 1_000_000
-_LONGEST_US = 600 * _MICROSECONDS
-_DIGITS = 2
+_MAX_DURATION_US = 600 * _MICROSECONDS
+_SIGNIFICANT_DIGITS = 2
 
-#: Quantiles on the page.
+#: Quantiles of each duration on the metrics page.
 QUANTILES = (0.5, 0.95, 0.99)
 
-#: Counters by name: meaning and labels.
+#: Help text and label names of each counter, by name.
 COUNTS = {
     "calls": ("Calls of clients.", ("verb", "status")),
     "starts": ("Orders to start a task, by the worker's answer.", ("answer",)),
@@ -31,7 +31,7 @@
     "store_calls": ("Calls to the store.", ("kind",)),
 }
 
-#: Times by name, with their meaning. Unit: seconds.
+#: Help text of each duration, by name. Unit: seconds.
 TIMES = {
     "accept": "From a client's job to its row being durable.",
     "first_start": "From the acceptance of a job to its first task at work, at the home.",
@@ -43,13 +43,13 @@
 
 
 class Meters:
-    """Counts and times, kept cheap: the page is made when somebody asks for it.
+    """Counters and durations of a process; the metrics page is rendered only on request.
 
     Examples
     --------
     >>> meters = Meters()
     >>> meters.count("ends", "done")
-    >>> meters.timed("accept", 0.25)
+    >>> meters.record_duration("accept", 0.25)
     >>> b'anvilflow_accept_seconds_count 1.0' in meters.page()
     True
     """
@@ -59,23 +59,23 @@
         self._times = {}
 
     def count(self, name, *labels, n=1):
-        """Add to a counter of :data:`COUNTS`."""
+        """Add `n` to the counter `name` of :data:`COUNTS`."""
         if len(labels) != len(COUNTS[name][1]):
-            raise ValueError(f"{name} takes the labels {COUNTS[name][1]}")
+            raise ValueError(f"counter {name} requires values for the labels {COUNTS[name][1]}")
         self.counts[name, labels] += n
 
-    def timed(self, name, seconds):
-        """Record a time of :data:`TIMES`."""
+    def record_duration(self, name, seconds):
+        """Record a duration `name` of :data:`TIMES`. Unit: seconds."""
         histogram = self._times.get(name)
         if histogram is None:
             if name not in TIMES:
                 raise KeyError(name)
-            histogram = self._times[name] = HdrHistogram(1, _LONGEST_US, _DIGITS)
-        histogram.record_value(min(_LONGEST_US, max(1, int(seconds * _MICROSECONDS))))
+            histogram = self._times[name] = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
+        histogram.record_value(min(_MAX_DURATION_US, max(1, int(seconds * _MICROSECONDS))))
 
     def collect(self):
-        """Yield the families of the page."""
-        # Imported here: most instances are never asked, and each start would pay for it.
+        """Yield the metric families of the page."""
+        # Imported here, since most instances never serve a page and the import delays the start.
         from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
         from prometheus_client.metrics_core import Metric
 
@@ -110,7 +110,7 @@
         )
 
     def page(self):
-        """Return the page in the usual text format."""
+        """Return the metrics page in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
--- a/anvilflow/metrics/_metrics.py
+++ b/anvilflow/metrics/_metrics.py
@@ -1,15 +1,15 @@
-"""Waiting times by customer and kind in HDR histograms, and counters for the metrics page."""
+"""Waiting times in HDR histograms by customer and kind, and counters, for the metrics page."""
 
 from hdrh.histogram import HdrHistogram
 
 _MICROSECONDS = 1_000_000
-_LONGEST_US = 3600 * _MICROSECONDS
-_DIGITS = 2
+_MAX_DURATION_US = 3600 * _MICROSECONDS
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50.0, 99.0)
 
 
 class Metrics:
-    """What one process measures.
+    """Waiting times and counters of one process.
 
     Examples
     --------
@@ -20,7 +20,7 @@
     """
 
     def __init__(self):
-        # Imported here: instances that make no page start 40 ms sooner without it.
+        # Imported here: processes without a metrics page start 40 ms sooner without this import.
         from prometheus_client import CollectorRegistry, Counter
 
         self._waits = {}
@@ -35,23 +35,23 @@
         self.registry.register(self)
 
     def waited(self, customer, kind, seconds):
-        """Record how long a request or task waited for its place."""
+        """Record the time, in seconds, that a request or task waited for its placement."""
         histogram = self._waits.get((customer, kind))
         if histogram is None:
-            histogram = HdrHistogram(1, _LONGEST_US, _DIGITS)
+            histogram = HdrHistogram(1, _MAX_DURATION_US, _SIGNIFICANT_DIGITS)
             self._waits[customer, kind] = histogram
-        histogram.record_value(min(_LONGEST_US, max(1, int(seconds * _MICROSECONDS))))
+        histogram.record_value(min(_MAX_DURATION_US, max(1, int(seconds * _MICROSECONDS))))
 
     def histograms(self):
-        """Return the histograms by customer and kind."""
+        """Return the histograms of waiting times, in microseconds, by customer and kind."""
         return self._waits
 
     def summary(self):
-        """Return count, p50, p99 and maximum by customer and kind. Unit: seconds."""
+        """Return count, p50, p99 and maximum, in seconds, by customer and kind."""
         return {key: summarize(histogram) for key, histogram in self._waits.items()}
 
     def collect(self):
-        """Yield the waiting times in the form of the metrics page."""
+        """Yield the waiting times as a metric family for the metrics page."""
         from prometheus_client.core import SummaryMetricFamily
 
         family = SummaryMetricFamily(
@@ -64,14 +64,14 @@
         yield family
 
     def page(self):
-        """Return the metrics page."""
+        """Return the metrics page in the Prometheus text format."""
         from prometheus_client import generate_latest
 
         return generate_latest(self.registry)
 
 
 def summarize(histogram):
-    """Return count, p50, p99 and maximum of a histogram of microseconds. Unit: seconds."""
+    """Return count, p50, p99 and maximum, in seconds, of a histogram in microseconds."""
     p50, p99 = (
         histogram.get_value_at_percentile(percentile) / _MICROSECONDS for percentile in _PERCENTILES
     )
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -426,7 +426,7 @@
             # It may run on, or be on its way still. Its place stays taken until a report that was
             # made after the worker would refuse it as late no longer names it.
             owned.overdue[request.request_id] = until
-            owned.ticker.within(self.context.settings.timing.worker_sync_s)
+            owned.ticker.call_within(self.context.settings.timing.worker_sync_s)
             end = (Outcome.UNKNOWN, b"", exc.code, exc.message)
         else:
             run_time = self.now - began
@@ -517,7 +517,7 @@
         workload = self.context.catalog.workload(body.workload)
         until = owned.clock.until(self.now, self.context.settings.lease.task_s)
         owned.starting.add(hold_id)
-        owned.ticker.within(self.context.settings.timing.worker_sync_s)
+        owned.ticker.call_within(self.context.settings.timing.worker_sync_s)
         try:
             yield owned.client.start(
                 hold_id=hold_id,
--- a/anvilflow/utils/__init__.py
+++ b/anvilflow/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Helpers shared by all packages."""
+"""Value checks, JSON and timing helpers, shared by all packages."""
 
 from ._checks import check_fraction, check_name, check_one_of, check_positive
 from ._json import decode, decode_lenient, encode, to_builtins
--- a/anvilflow/utils/_checks.py
+++ b/anvilflow/utils/_checks.py
@@ -1,4 +1,4 @@
-"""Value checks that are shared by settings, declarations and calls."""
+"""Value checks for settings, declarations and calls."""
 
 import re
 
@@ -8,16 +8,16 @@
 
 
 def check_name(name, path, *, error=DeclarationError):
-    """Raise unless `name` is a lower-case name of 1 to 63 characters.
+    """Return `name`; raise unless it is a lower-case name of 1 to 63 characters.
 
     Parameters
     ----------
     name : str
-        The value.
+        The value to check.
     path : str
-        Where the value stands, for the message.
+        Path of the value in its document, for the error message.
     error : type, default=DeclarationError
-        The coded error to raise.
+        The exception class to raise, with an error code.
 
     Examples
     --------
@@ -33,21 +33,21 @@
 
 
 def check_positive(value, path, *, error=DeclarationError):
-    """Raise unless `value` is above zero."""
+    """Return `value`; raise unless it is above zero."""
     if value <= 0:
         raise error(f"{path}: {value} is out of range; allowed: above 0")
     return value
 
 
 def check_fraction(value, path, *, error=DeclarationError):
-    """Raise unless `value` lies between 0 and 1."""
+    """Return `value`; raise unless it lies between 0 and 1."""
     if not 0 <= value <= 1:
         raise error(f"{path}: {value} is out of range; allowed: 0 to 1")
     return value
 
 
 def check_one_of(value, allowed, path, *, error=DeclarationError):
-    """Raise unless `value` is one of `allowed`."""
+    """Return `value`; raise unless it is one of `allowed`."""
     if value not in allowed:
         raise error(f"{path}: {value!r} is unknown; allowed: {', '.join(sorted(allowed))}")
     return value
--- a/anvilflow/utils/_json.py
+++ b/anvilflow/utils/_json.py
@@ -1,4 +1,4 @@
-"""JSON through msgspec, with its errors turned into coded ones."""
+"""JSON encoding and decoding with msgspec, whose errors become exceptions with error codes."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 def decode(body, kind, *, error=CallError):
-    """Decode bytes from outside into `kind`; a misfit raises `error` with the field's path."""
+    """Decode untrusted bytes as type `kind`; raise `error` with the field's path on a mismatch."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as exc:
@@ -17,5 +17,5 @@
 
 
 def decode_lenient(body):
-    """Decode bytes that one of our own processes wrote."""
+    """Decode bytes that a process of this project wrote, without a type check."""
     return msgspec.json.decode(body)
--- a/anvilflow/utils/_timing.py
+++ b/anvilflow/utils/_timing.py
@@ -1,13 +1,13 @@
-"""Repeating calls on an injected clock."""
+"""Periodic calls on an injected clock, and jitter of delays."""
 
 
 def jitter(random_state, delay, *, spread=0.2):
-    """Return `delay` moved by up to `spread` either way, so that instances do not act in step."""
+    """Return `delay` varied by a share of up to `spread`, so that instances do not synchronize."""
     return delay * (1 + spread * (2 * random_state.random() - 1))
 
 
 class Ticker:
-    """Call a function again and again, each time a while after the last call ended.
+    """Calls a function periodically; the period starts at the end of the previous call.
 
     Parameters
     ----------
@@ -16,9 +16,9 @@
     period : float or callable
         Seconds between the end of one call and the next, or a function that returns them.
     call : callable
-        Called without arguments; may return a Deferred, whose end is awaited.
+        Called without arguments; may return a Deferred, which ends the call when it fires.
     on_error : callable
-        Called with the Failure when `call` fails; the ticker goes on.
+        Called with the Failure when `call` fails; the ticker continues.
     """
 
     def __init__(self, *, clock, period, call, on_error):
@@ -36,19 +36,19 @@
         self._delayed = self.clock.callLater(delay, self._run)
 
     def stop(self):
-        """Make no further call."""
+        """Cancel all further calls."""
         self._stopped = True
         if self._delayed is not None and self._delayed.active():
             self._delayed.cancel()
         self._delayed = None
 
     def hurry(self):
-        """Make the next call now unless one is running."""
+        """Make the next call at the next opportunity, unless a call is running."""
         if self._delayed is not None and self._delayed.active():
             self._delayed.reset(0)
 
-    def within(self, delay):
-        """Make the next call after `delay` at the latest."""
+    def call_within(self, delay):
+        """Make the next call no later than `delay` seconds from now, unless a call is running."""
         if self._delayed is not None and self._delayed.active():
             now = self.clock.seconds()
             if self._due - now > delay:
@@ -56,8 +56,8 @@
                 self._due = now + delay
 
     def _run(self):
-        # The import is here because twisted.internet.defer pulls in the whole of Twisted, which
-        # the pure packages that import `utils` do without.
+        # Imported here, since twisted.internet.defer imports the whole of Twisted, which the
+        # packages without I/O that import `utils` do not need.
         from twisted.internet.defer import maybeDeferred
 
         self._delayed = None
