--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -208,7 +208,7 @@
         self._loading_heartbeat.close()
         self._n_failed_loads = 0
         self.context.leader = self
-        self.context.meters.timed("load", self.now - claimed_at)
+        self.context.meters.record_duration("load", self.now - claimed_at)
         self.log.info(
             "home begins",
             term=claimed.term,
@@ -407,7 +407,7 @@
         scheduler.n_advice_callers = self._advice_dispatcher.n_advice_callers
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_start_delays():
-            self.context.meters.timed("first_start", seconds)
+            self.context.meters.record_duration("first_start", seconds)
         n_wanted = self._fleet.n_wanted_starts()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
         if scheduler.holds_starts:
@@ -459,7 +459,7 @@
     def _advice_received(self, advice, action, scheduler, requested_at):
         if self._scheduler is not scheduler:
             return
-        self.context.meters.timed("advice", self.now - requested_at)
+        self.context.meters.record_duration("advice", self.now - requested_at)
         if advice is None:
             scheduler.advice_received(action.step, action.workers, None, 0.0, self.now)
         else:
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -320,7 +320,7 @@
         ended = []
         for job, change, _ in snapshot:
             if job.changed_at is not None:
-                self.context.meters.timed("record", now - job.changed_at)
+                self.context.meters.record_duration("record", now - job.changed_at)
             # If a job ended while the transaction was in flight, its end is not durable yet.
             if self.scheduler.recorded(job.job_id, change, now):
                 self._progress_job_ids.discard(job.job_id)
