--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -199,7 +199,7 @@
         for row in state.workers:
             self._fleet.take_registry_entry(row)
         for handover in claimed.former.handover if claimed.former is not None else ():
-            self._fleet.take_handover(handover)
+            self._fleet.adopt_worker(handover)
         self._loaded = True
         self.loaded_at = self.now
         self._loading_heartbeat.close()
@@ -272,7 +272,7 @@
     def _config_changed(self, _, __):
         if self._scheduler is not None:
             self._scheduler.configure(self.context.config)
-            self._fleet.read_again()
+            self._fleet.reread_ignored_entries()
             self.changed()
 
     # Telling the others
@@ -281,7 +281,7 @@
         """Note whether this instance is short of link or processor, as the leader."""
         if self._relay_dispatcher is not None:
             self._relay_dispatcher.measure()
-            self.context.uses_relays = self._relay_dispatcher.are_used
+            self.context.uses_relays = self._relay_dispatcher.relays_in_use
 
     def heartbeat(self):
         """Return what the leader says of itself and of what waits."""
@@ -353,7 +353,7 @@
         for row in rows:
             self.act(self._intake.take(row))
         self._scheduler.jobs_read(requested_at)
-        self._fleet.acknowledge()
+        self._fleet.resume_renewals()
         self._recorder.trigger()
         self.changed()
 
@@ -396,7 +396,7 @@
         scheduler.policy = self.context.settings.scheduling
         for seconds in scheduler.take_first_starts():
             self.context.meters.timed("first_start", seconds)
-        n_wanted = self._fleet.n_wanted_starts()
+        n_wanted = self._fleet.n_free_start_slots()
         self.act(scheduler.plan(self.now, self.context.wall_clock(), n_wanted=n_wanted))
         if scheduler.holds_starts:
             self._recorder.trigger()
@@ -474,10 +474,10 @@
     def _recorded(self, ended):
         # Workers that the row no longer names take work again.
         self.changed()
-        self._fleet.acknowledge()
+        self._fleet.resume_renewals()
         for job in ended:
             self._garbage_collector.add(job.job_id, self.context.wall_clock())
             self._garbage_collector.shorten(job)
-            self._relay_dispatcher.forget_job(job.job_id)
+            self._relay_dispatcher.remove_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -250,7 +250,7 @@
                     asked.callback(LeaderReply(link=link, heartbeat=body))
                 elif link is self.leader_link:
                     if body.sent_ms is not None and self.context.relay is not None:
-                        self.context.relay.heard(link, body.sent_ms)
+                        self.context.relay.record_message_age(link, body.sent_ms)
                     self.context.bus.post(body, source=link.peer.instance)
             case JobCall():
                 self._serve_job(link, body)
--- a/anvilflow/cell/_payload_cache.py
+++ b/anvilflow/cell/_payload_cache.py
@@ -1,4 +1,4 @@
-"""Payloads of jobs, as an instance keeps them for the starts that it carries."""
+"""Cache of job payloads for the starts that an instance sends."""
 
 from collections import OrderedDict
 
@@ -9,12 +9,12 @@
 from ..utils import decode
 from ._tables import JOBS, PAYLOADS, JobRow, has_payload, job_part
 
-#: Payloads kept in memory, of up to 4 kB each; others are read again.
-MAX_KEPT = 2000
+#: Most payloads kept in memory, of up to 4 kB each; others are read from the store again.
+MAX_PAYLOADS = 2000
 
 
 class PayloadCache:
-    """Keeps the payloads of jobs that this instance has accepted, and reads those of others.
+    """Keeps payloads of recent jobs, and reads those of other jobs from the store.
 
     Parameters
     ----------
@@ -23,44 +23,44 @@
 
     def __init__(self, *, context):
         self.context = context
-        self._kept = OrderedDict()
-        self._reading = {}
+        self._payloads = OrderedDict()
+        self._pending_reads = {}
 
     def __len__(self):
-        return len(self._kept)
+        return len(self._payloads)
 
     def keep(self, job_id, payload):
-        """Keep a payload for the starts to come."""
-        self._kept[job_id] = payload
-        self._kept.move_to_end(job_id)
-        while len(self._kept) > MAX_KEPT:
-            self._kept.popitem(last=False)
+        """Add a payload, and evict the least recently added ones beyond `MAX_PAYLOADS`."""
+        self._payloads[job_id] = payload
+        self._payloads.move_to_end(job_id)
+        while len(self._payloads) > MAX_PAYLOADS:
+            self._payloads.popitem(last=False)
 
     def find(self, job_id):
-        """Return a Deferred of a job's payload, read once for all who ask meanwhile.
+        """Return a Deferred of a job's payload; concurrent calls share one read of the store.
 
         Raises
         ------
         PayloadGoneError
             AF414, the store has neither a payload of the job nor a row with one.
         PlatformError
-            The store cannot be asked.
+            The store is unavailable.
         """
-        payload = self._kept.get(job_id)
+        payload = self._payloads.get(job_id)
         if payload is not None:
             return succeed(payload)
         done = Deferred()
-        if job_id in self._reading:
-            self._reading[job_id].append(done)
+        if job_id in self._pending_reads:
+            self._pending_reads[job_id].append(done)
             return done
-        self._reading[job_id] = [done]
-        self._read(job_id).addBoth(self._was_read, job_id)
+        self._pending_reads[job_id] = [done]
+        self._read(job_id).addBoth(self._read_done, job_id)
         return done
 
-    def _was_read(self, result, job_id):
+    def _read_done(self, result, job_id):
         if not isinstance(result, Failure):
             self.keep(job_id, result)
-        for done in self._reading.pop(job_id):
+        for done in self._pending_reads.pop(job_id):
             done.callback(result)
 
     @inlineCallbacks
--- a/anvilflow/cell/_relay.py
+++ b/anvilflow/cell/_relay.py
@@ -1,4 +1,4 @@
-"""Makes calls to workers for the leader: an instance as a relay."""
+"""Execution of the leader's commands to workers by another instance, the relay."""
 
 from collections import OrderedDict
 
@@ -14,64 +14,67 @@
     LEAVING,
     CommandOutcome,
     Verb,
-    answer_of_error,
-    answer_of_report,
-    find_flaw,
+    answer_from_error,
+    answer_from_report,
+    find_command_error,
 )
 
-#: Time for which answers are gathered for one frame: the leader, which is short of processor, pays
-#: for each frame that it reads. Unit: seconds.
-GATHER_S = 0.01
+#: Time for which answers are collected into one frame: reading a frame costs processor time, of
+#: which the leader is short. Unit: seconds.
+ANSWER_BATCH_S = 0.01
 
-#: Workers whose calls are kept ready, the ones used last.
-MAX_WORKERS = 4_096
+#: Most workers for which a client is cached; the least recently used ones are evicted.
+MAX_CACHED_WORKERS = 4_096
 
 
 class WorkerEndpoint(Struct, kw_only=True):
-    """Where a worker is."""
+    """Address of a worker."""
 
     worker_id: str
     address: str
 
 
 class RelayPart(Part):
-    """Carries out the orders of the leader to workers, each at once or not at all.
+    """Executes the leader's commands to workers, each at once or not at all.
 
     Notes
     -----
-    An order that has waited for longer than its time limit is not sent: the leader has given it up,
-    and a start would begin after all that followed from that. So is one of a leader that another
-    one has followed, as far as this instance has heard; the worker's fence refuses the rest.
+    A command that has waited for longer than its time limit is not sent: the leader has given it
+    up, and a late start would run after the leader has acted on the missing answer. Nor is a
+    command of a former leader sent, if this instance has seen the successor's token; otherwise the
+    worker's fence refuses it.
     """
 
     prefix = "carrier"
 
     def __init__(self, *, context):
         super().__init__(context=context)
-        self._calls = OrderedDict()
+        self._clients = OrderedDict()
         self._answers = []
         self._token = 0
         self._link = None
         self._age = MessageAge()
 
     def start(self):
-        """Take orders."""
+        """Accept commands."""
         self.context.relay = self
 
     def stop(self):
-        """Take no more."""
+        """Accept no further commands."""
         self.context.relay = None
         super().stop()
 
     def serve(self, link, command):
-        """Carry out a :class:`WorkerOrder` that came over `link`, and answer over it."""
-        flaw = find_flaw(command)
-        if flaw is not None:
+        """Execute a :class:`WorkerOrder` received over `link`, and answer over the same link."""
+        reason = find_command_error(command)
+        if reason is not None:
             self.context.meters.count("malformed_messages")
-            self.log.warning("order not understood", home=link.peer.instance, error=flaw)
+            self.log.warning("order not understood", home=link.peer.instance, error=reason)
             return
-        give_up_at = self.now - self.heard(link, command.sent_ms) + command.limit_ms / 1000
-        refusal = self._refusal(link, command, give_up_at)
+        expires_at = (
+            self.now - self.record_message_age(link, command.sent_ms) + command.limit_ms / 1000
+        )
+        refusal = self._refusal(link, command, expires_at)
         if refusal is not None:
             self._answer(_not_sent(refusal), link, command)
             return
@@ -79,27 +82,27 @@
         if command.verb == Verb.START:
             job_id = command.task.partition(".")[0]
             done = self.context.payloads.find(job_id)
-            done.addCallback(self._start, link, command, give_up_at)
+            done.addCallback(self._start, link, command, expires_at)
         else:
             done = self._call(command)
         done.addErrback(_failed)
         done.addCallback(self._answer, link, command)
         done.addErrback(self.fail_with)
 
-    def heard(self, link, sent_ms):
-        """Return for how long a message of the leader was on its way. Unit: seconds."""
+    def record_message_age(self, link, sent_ms):
+        """Record a message of the leader; return for how long it was on its way. Unit: seconds."""
         if link is not self._link:
             self._link, self._age = link, MessageAge()
         return self._age.note(sent_ms / 1000, self.now)
 
-    def _refusal(self, link, command, give_up_at):
-        """Return why an order is not carried out, or None."""
+    def _refusal(self, link, command, expires_at):
+        """Return why a command is not executed, or None."""
         context = self.context
         checks = {
             LEAVING: context.leaving,
             "not from the home": context.links is None or link is not context.links.leader_link,
             "of a former home": command.token < self._token,
-            LATE: self.now >= give_up_at,
+            LATE: self.now >= expires_at,
         }
         return next((why for why, holds in checks.items() if holds), None)
 
@@ -109,7 +112,7 @@
         )
         answer.call = command.call
         if not self._answers:
-            self.later(GATHER_S, self._send_answers)
+            self.later(ANSWER_BATCH_S, self._send_answers)
         self._answers.append((link, answer))
 
     def _send_answers(self):
@@ -117,9 +120,9 @@
         for link, answer in answers:
             link.send(answer)
 
-    def _start(self, payload, link, command, give_up_at):
-        # Reading the payload may have taken a while.
-        refusal = self._refusal(link, command, give_up_at)
+    def _start(self, payload, link, command, expires_at):
+        # The time limit may have passed, or the leader changed, while the payload was read.
+        refusal = self._refusal(link, command, expires_at)
         if refusal is not None:
             return _not_sent(refusal)
         action = StartRun(
@@ -130,7 +133,7 @@
             checkpoint=command.checkpoint or "",
             ticket=command.ticket or "",
         )
-        done = self._calls_to(command).start(
+        done = self._client_for(command).start(
             action, until_s=command.until_ms / 1000, timeout=command.limit_ms / 1000
         )
         return done.addCallback(
@@ -140,22 +143,22 @@
         )
 
     def _call(self, command):
-        calls = self._calls_to(command)
+        client = self._client_for(command)
         timeout = command.limit_ms / 1000
         match command.verb:
             case Verb.HOLD:
-                done = calls.renew_leases(
+                done = client.renew_leases(
                     seen=command.seen,
                     until_s=None if command.until_ms is None else command.until_ms / 1000,
                     wait_s=(command.wait_ms or 0) / 1000,
                     timeout=timeout,
                 )
-                return done.addCallback(answer_of_report)
+                return done.addCallback(answer_from_report)
             case Verb.STOP:
                 action = StopRun(
                     worker_id=command.worker, task=command.task, run_id=command.run_id, why=""
                 )
-                done = calls.stop(action, timeout=timeout)
+                done = client.stop(action, timeout=timeout)
             case Verb.PACE:
                 action = SetPace(
                     worker_id=command.worker,
@@ -163,19 +166,19 @@
                     run_id=command.run_id,
                     percent=command.percent,
                 )
-                done = calls.set_pace(action, timeout=timeout)
+                done = client.set_pace(action, timeout=timeout)
         return done.addCallback(lambda _: WorkerAnswer(outcome=CommandOutcome.DONE))
 
-    def _calls_to(self, command):
+    def _client_for(self, command):
         key = (command.worker, command.address)
-        calls = self._calls.get(key)
-        if calls is None or calls.token != command.token:
-            place = WorkerEndpoint(worker_id=command.worker, address=command.address)
-            calls = self._calls[key] = self.context.make_worker(place, command.token)
-        self._calls.move_to_end(key)
-        while len(self._calls) > MAX_WORKERS:
-            self._calls.popitem(last=False)
-        return calls
+        client = self._clients.get(key)
+        if client is None or client.token != command.token:
+            endpoint = WorkerEndpoint(worker_id=command.worker, address=command.address)
+            client = self._clients[key] = self.context.make_worker(endpoint, command.token)
+        self._clients.move_to_end(key)
+        while len(self._clients) > MAX_CACHED_WORKERS:
+            self._clients.popitem(last=False)
+        return client
 
 
 def _not_sent(why):
@@ -188,4 +191,4 @@
         return WorkerAnswer(outcome=CommandOutcome.NO_PAYLOAD, reason=str(failure.value))
     if failure.check(PlatformError):
         return _not_sent(f"payload not read: {failure.value}")
-    return answer_of_error(failure.value)
+    return answer_from_error(failure.value)
--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -1,4 +1,4 @@
-"""Starts that wait for their turn on the leader's link."""
+"""Queue of starts that wait for free capacity on the leader's link."""
 
 import heapq
 from collections import deque
@@ -9,40 +9,39 @@
 from ..decisions import SendWindow
 from ..jobs import StartRun
 
-#: Time over which the rate of starts is counted. Unit: seconds.
-RATE_S = 2.0
+#: Time window over which the rate of starts is averaged. Unit: seconds.
+RATE_WINDOW_S = 2.0
 
 
 class _Group(Struct, kw_only=True):
-    """Starts that are sent together: one, or all members of a gang."""
+    """Starts that are sent together: a single start, or all members of a gang."""
 
     starts: dict[str, StartRun]
     added_at: float
 
 
 class StartQueue:
-    """Sends as many starts at once as the answers show that the link carries.
+    """Sends queued starts by urgency, within a window that adapts to the round trips of answers.
 
-    A start that is sent can be neither overtaken by a more urgent one nor taken back. On a full
-    link it is late, and whether it runs is not known until its worker is heard again.
+    A start that has been sent can be neither overtaken by a more urgent one nor withdrawn. On a
+    full link it is late, and whether its run exists is unknown until the worker answers again.
 
     Parameters
     ----------
     clock : IReactorTime
     scheduler : Scheduler
-        Tells of each start how urgent it is, and whether it may still be sent.
+        Provides the urgency of each start, and whether the start may still be sent.
     send : callable
-        Called with each :class:`StartRun` when it is its turn, and for how long it has waited.
-        Unit: seconds.
+        Called with each :class:`StartRun` to send and the time it waited. Unit: seconds.
     drop : callable
-        Called with each one that may not be sent any more.
+        Called with each :class:`StartRun` that may no longer be sent.
     may_send_commands : callable
-        Whether anything may be sent now.
+        Returns whether commands may be sent now.
 
     Notes
     -----
-    Members of a gang go out together: the first ones would wait for the others at work, and end
-    without them.
+    The members of a gang are sent together, even beyond the window: if sent one by one, the first
+    members would run while waiting for the others, and end without them.
     """
 
     def __init__(self, *, clock, scheduler, send, drop, may_send_commands):
@@ -53,7 +52,7 @@
         self._drop = drop
         self._may_send_commands = may_send_commands
         self._heap = []
-        self._numbers = count()
+        self._sequence = count()
         self._groups = {}
         self._n_waiting = 0
         self._under_way = set()
@@ -65,19 +64,19 @@
 
     @property
     def rate(self):
-        """Starts that are sent in a second, by those of the last two; at least one."""
-        since = self.clock.seconds() - RATE_S
+        """Starts sent per second, averaged over the last two seconds; at least one."""
+        since = self.clock.seconds() - RATE_WINDOW_S
         while self._sent_at and self._sent_at[0] < since:
             self._sent_at.popleft()
-        return max(1.0, len(self._sent_at) / RATE_S)
+        return max(1.0, len(self._sent_at) / RATE_WINDOW_S)
 
     @property
-    def n_open(self):
-        """Starts that are wanted beyond those that wait: as many as may be under way."""
+    def n_free(self):
+        """How many more starts the queue accepts: the limit of the window less those queued."""
         return max(0, self.window.limit - len(self))
 
     def add(self, action):
-        """Queue a start; it goes out with the next :meth:`send_due`."""
+        """Queue a start for :meth:`send_due`."""
         step, _ = self.scheduler.find_task(action.task)
         is_gang = step is not None and step.spec.gang
         key = (step.key if is_gang else action.task, action.run_id)
@@ -86,12 +85,15 @@
             now = self.clock.seconds()
             group = self._groups[key] = _Group(starts={}, added_at=now)
             urgency = step.job.urgency(now) if step is not None else ()
-            heapq.heappush(self._heap, (urgency, next(self._numbers), key))
+            heapq.heappush(self._heap, (urgency, next(self._sequence), key))
         group.starts[action.task] = action
         self._n_waiting += 1
 
     def withdraw(self, action):
-        """Take a start back by the stop of its run; return whether it was still here."""
+        """Withdraw the start of a run that is being stopped; return whether it was still queued.
+
+        `action` is the stop of the run.
+        """
         step_key = action.task.rpartition(".")[0]
         for key in ((action.task, action.run_id), (step_key, action.run_id)):
             group = self._groups.get(key)
@@ -100,8 +102,11 @@
                 return True
         return False
 
-    def over(self, action):
-        """Note that a start is answered, or so late that it tells nothing of the link."""
+    def release(self, action):
+        """Release the place of a start in the window: it is answered, or late.
+
+        The answer to a late start no longer shows the state of the link.
+        """
         key = (action.task, action.run_id)
         if key in self._under_way:
             self._under_way.remove(key)
@@ -109,7 +114,7 @@
             self.send_due()
 
     def send_due(self):
-        """Send what the window allows, the most urgent first."""
+        """Send queued starts, the most urgent first, while the window is open."""
         if (
             self._is_sending
             or not self._heap
@@ -129,12 +134,12 @@
         now = self.clock.seconds()
         starts = list(group.starts.values())
         self._n_waiting -= len(starts)
-        may_go = all(
+        may_send = all(
             self.scheduler.may_be_sent(start.worker_id, start.task, start.run_id, now)
             for start in starts
         )
         for start in starts:
-            if not may_go:
+            if not may_send:
                 self._drop(start)
                 continue
             self._under_way.add((start.task, start.run_id))
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -1,4 +1,4 @@
-"""Calls to one worker, made by other instances while the leader is short of link or processor."""
+"""Calls to one worker, made by relays while the leader is short of link or processor."""
 
 from msgspec import Struct
 
@@ -14,37 +14,38 @@
 from ._worker_commands import (
     CommandOutcome,
     Verb,
-    clock_of_answer,
-    raise_failed,
-    report_of_answer,
+    clock_from_answer,
+    raise_for_outcome,
+    report_from_answer,
 )
 
-#: Other instances that are tried for an order before the leader makes the call itself.
+#: Relays that are tried for a command before the leader makes the call itself.
 MAX_RELAYS = 2
 
-#: Labels of who makes a call.
+#: Values of the metric label `route`.
 _DIRECT = "direct"
-_CARRIED = "carried"
+_RELAYED = "carried"
 
 
 class _Command(Struct):
-    """One call on its way.
+    """A call to the worker in progress.
 
     Parameters
     ----------
     verb : Verb
     choose : callable
-        Returns the instance that should carry the order, or None.
+        Returns the name of the relay for the command, or None.
     direct : callable
-        Makes the call from here.
+        Makes the call from the leader.
     convert : callable
         Returns the call's result from a :class:`WorkerAnswer`.
     limit_s, held_s : float
-        Wait for the worker's answer, beyond how long it may be held back. Unit: seconds.
+        Timeout of the worker's answer, beyond the time for which the worker may delay it, and that
+        time. Unit: seconds.
     values : dict
         Fields of the :class:`WorkerOrder`.
     n_left : int
-        Other instances that may still be tried.
+        Number of relays that may still be tried.
     """
 
     verb: Verb
@@ -58,22 +59,22 @@
 
 
 class WorkerCallRouter:
-    """The interface of :class:`WorkerCalls`, with a choice of who makes each call.
+    """Routes each call to a worker over a relay or directly; has the interface of `WorkerCalls`.
 
     Parameters
     ----------
     direct : WorkerCalls
-        Of the leader itself.
+        Makes the leader's own calls.
     info : WorkerInfo
     relay_dispatcher : RelayDispatcher
     context : CellContext
 
     Notes
     -----
-    An order that was certainly not sent goes to the next relay, and at last out from here. A hold
-    that a worker did not answer a relay is made once more from here: a relay that is cut off
-    from its share of the workers must not make them look dark. A start without an answer may be at
-    work, and is left to the session's own retries.
+    A command that was certainly not sent goes to the next relay, and finally the leader makes the
+    call itself. When a relay gets no answer to a lease renewal, the leader repeats the renewal
+    directly: a relay that is cut off from its share of the workers must not make them appear
+    unreachable. A start without an answer may be running, and is retried by the session only.
     """
 
     def __init__(self, *, direct, info, relay_dispatcher, context):
@@ -85,7 +86,7 @@
         self._context = context
 
     def renew_leases(self, *, seen, until_s, wait_s, timeout=None):
-        """Renew the lease of all that runs, see :meth:`WorkerCalls.renew_leases`."""
+        """Renew the leases of all runs, see :meth:`WorkerCalls.renew_leases`."""
 
         def renew_directly(held_s=wait_s):
             return self.direct.renew_leases(
@@ -96,7 +97,7 @@
         values = {"seen": seen, "until_ms": until_ms, "wait_ms": round(1000 * wait_s)}
         return self._send(
             self._command(
-                Verb.HOLD, renew_directly, report_of_answer, timeout, values=values, held_s=wait_s
+                Verb.HOLD, renew_directly, report_from_answer, timeout, values=values, held_s=wait_s
             )
         )
 
@@ -106,7 +107,7 @@
         command = self._command(
             Verb.START,
             lambda: self._start_directly(action, job_id, until_s, timeout),
-            clock_of_answer,
+            clock_from_answer,
             timeout,
             values={
                 "task": action.task,
@@ -116,7 +117,7 @@
                 "ticket": action.ticket or None,
             },
         )
-        command.choose = lambda: self._relay_dispatcher.for_start(self.worker_id, job_id)
+        command.choose = lambda: self._relay_dispatcher.relay_for_start(self.worker_id, job_id)
         return self._send(command)
 
     def stop(self, action, *, timeout=None):
@@ -126,7 +127,7 @@
             self._command(
                 Verb.STOP,
                 lambda: self.direct.stop(action, timeout=timeout),
-                _nothing_of_answer,
+                _no_result,
                 timeout,
                 values=values,
             )
@@ -139,7 +140,7 @@
             self._command(
                 Verb.PACE,
                 lambda: self.direct.set_pace(action, timeout=timeout),
-                _nothing_of_answer,
+                _no_result,
                 timeout,
                 values=values,
             )
@@ -148,7 +149,7 @@
     def _command(self, verb, direct, convert, timeout, *, values, held_s=0.0):
         return _Command(
             verb=verb,
-            choose=self._choose_holder,
+            choose=self._choose_relay,
             direct=direct,
             convert=convert,
             limit_s=self.timeout if timeout is None else timeout,
@@ -156,31 +157,31 @@
             values=values,
         )
 
-    def _choose_holder(self):
-        return self._relay_dispatcher.for_worker(self.worker_id)
+    def _choose_relay(self):
+        return self._relay_dispatcher.relay_for_worker(self.worker_id)
 
     def _start_directly(self, action, job_id, until_s, timeout):
         if has_payload(action):
             return self.direct.start(action, until_s=until_s, timeout=timeout)
         done = self._context.payloads.find(job_id)
-        done.addErrback(_no_payload)
+        done.addErrback(_raise_no_payload)
         return done.addCallback(self._start_with, action, until_s, timeout)
 
     def _start_with(self, payload, action, until_s, timeout):
         action.payload = payload
         return self.direct.start(action, until_s=until_s, timeout=timeout)
 
-    # One order on its way
+    # Sending of a command
 
     def _send(self, command):
-        """Have an order carried out, or make the call; the Deferred fires with its result."""
+        """Send a command over a relay or directly; the Deferred fires with the call's result."""
         name = command.choose() if command.n_left else None
         if name is None:
             self._count(command, _DIRECT)
             return command.direct()
         command.n_left -= 1
-        self._count(command, _CARRIED)
-        done = self._relay_dispatcher.ask(
+        self._count(command, _RELAYED)
+        done = self._relay_dispatcher.send_command(
             name,
             command.verb,
             command.limit_s,
@@ -199,17 +200,17 @@
             case CommandOutcome.DONE:
                 return command.convert(answer)
             case CommandOutcome.NOT_SENT:
-                self._relay_dispatcher.not_sent(name, answer.reason)
+                self._relay_dispatcher.command_not_sent(name, answer.reason)
                 return self._send(command)
             case CommandOutcome.UNANSWERED if command.verb is Verb.HOLD:
                 self._count(command, _DIRECT)
-                # The worker has held its answer back already, if it was reached.
+                # If the worker was reached, it has already delayed its answer; no second delay.
                 return command.direct(0.0).addCallback(self._relay_was_cut_off, name)
             case _:
-                return raise_failed(answer)
+                return raise_for_outcome(answer)
 
     def _relay_was_cut_off(self, report, name):
-        self._relay_dispatcher.rest(name, "does not reach a worker")
+        self._relay_dispatcher.back_off(name, "does not reach a worker")
         return report
 
     def _unanswered(self, failure, command):
@@ -219,17 +220,19 @@
         if command.verb is Verb.HOLD:
             command.n_left = 0
             return self._send(command)
-        raise WorkerUnreachableError(f"no answer of a carrier: {failure.value}") from failure.value
+        raise WorkerUnreachableError(
+            f"no answer from the relay: {failure.value}"
+        ) from failure.value
 
     def _count(self, command, route):
         self._context.meters.count("routes", command.verb.name, route)
 
 
-def _nothing_of_answer(_):
+def _no_result(_):
     return None
 
 
-def _no_payload(failure):
+def _raise_no_payload(failure):
     failure.trap(PayloadGoneError, PlatformError)
     reason = "no payload" if failure.check(PayloadGoneError) else "unreached"
     raise WorkerRefusedError(str(failure.value), details={"reason": reason}) from failure.value
--- a/anvilflow/cell/_worker_commands.py
+++ b/anvilflow/cell/_worker_commands.py
@@ -1,4 +1,4 @@
-"""Orders to workers as messages between instances, and what became of them."""
+"""Messages between instances for commands to workers, and their outcomes."""
 
 from enum import IntEnum
 
@@ -8,7 +8,7 @@
 
 
 class Verb(IntEnum):
-    """What an order has an instance do."""
+    """Kind of a command."""
 
     START = 1
     STOP = 2
@@ -17,9 +17,9 @@
 
 
 class CommandOutcome(IntEnum):
-    """What became of an order.
+    """Outcome of a command.
 
-    `NOT_SENT` and `NO_PAYLOAD` are of the relay: it has sent nothing, and will not.
+    `NOT_SENT` and `NO_PAYLOAD` mean that the relay has not sent the command, and will not send it.
     """
 
     DONE = 0
@@ -30,13 +30,13 @@
     NO_PAYLOAD = 5
 
 
-#: Reasons for which a relay does not send an order: it is about to stop; the order's time is
-#: over, which says more of the way to the relay than of the relay.
+#: Reasons why a relay does not send a command: the relay is about to stop; the command's time limit
+#: has passed, which points to a slow path to the relay rather than to a fault of the relay.
 LEAVING = "leaving"
 LATE = "late"
 
-#: Fields without which an order of a verb cannot be carried out.
-_NEEDED = {
+#: Fields that a command needs, by its verb.
+_REQUIRED_FIELDS = {
     Verb.START: ("task", "run_id", "until_ms"),
     Verb.STOP: ("task", "run_id"),
     Verb.HOLD: ("seen",),
@@ -44,28 +44,36 @@
 }
 
 
-def find_flaw(command):
-    """Return what keeps a :class:`WorkerOrder` from being carried out, or None."""
-    if command.verb not in _NEEDED:
+def find_command_error(command):
+    """Return why a :class:`WorkerOrder` is invalid, or None if it is valid."""
+    if command.verb not in _REQUIRED_FIELDS:
         return f"the verb {command.verb!r} is not known"
-    needed = ("call", "token", "worker", "address", "limit_ms", "sent_ms", *_NEEDED[command.verb])
-    missing = [name for name in needed if getattr(command, name) is None]
+    required = (
+        "call",
+        "token",
+        "worker",
+        "address",
+        "limit_ms",
+        "sent_ms",
+        *_REQUIRED_FIELDS[command.verb],
+    )
+    missing = [name for name in required if getattr(command, name) is None]
     return f"without {', '.join(missing)}" if missing else None
 
 
-#: How a failed call is told, the more special kinds first.
+#: Outcomes of failed calls by error class; subclasses stand before their base classes.
 _OUTCOME_OF_ERROR = (
     (WorkerGoneError, CommandOutcome.GONE),
     (WorkerRefusedError, CommandOutcome.REFUSED),
     (WorkerUnreachableError, CommandOutcome.UNANSWERED),
 )
 
-#: Reason of a worker's refusal where nobody listens at its address.
-_NOBODY_LISTENS = "nobody listens"
+#: Reason in an answer when the connection to the worker's address was refused.
+_CONNECTION_REFUSED = "nobody listens"
 
 
-def answer_of_report(report):
-    """Return the :class:`WorkerAnswer` that tells a worker's :class:`WorkerReport`."""
+def answer_from_report(report):
+    """Return the :class:`WorkerAnswer` with the contents of a :class:`WorkerReport`."""
     return WorkerAnswer(
         outcome=CommandOutcome.DONE,
         clock_ms=round(1000 * report.clock_s),
@@ -74,28 +82,28 @@
     )
 
 
-def answer_of_error(error):
-    """Return the :class:`WorkerAnswer` that tells of a call to a worker that failed."""
+def answer_from_error(error):
+    """Return the :class:`WorkerAnswer` for a failed call to a worker."""
     outcome = next(outcome for kind, outcome in _OUTCOME_OF_ERROR if isinstance(error, kind))
     details = error.details or {}
-    reason = _NOBODY_LISTENS if details.get("nobody_listens") else details.get("reason")
+    reason = _CONNECTION_REFUSED if details.get("nobody_listens") else details.get("reason")
     return WorkerAnswer(outcome=outcome, reason=reason or str(error))
 
 
-def clock_of_answer(answer):
-    """Return the worker's clock in an answer; one without it cannot be read."""
+def clock_from_answer(answer):
+    """Return the worker's clock from an answer; raise if it is missing. Unit: seconds."""
     if answer.clock_ms is None:
-        raise WorkerUnreachableError("the carrier's answer cannot be read")
+        raise WorkerUnreachableError("the relay's answer has no time of the worker's clock")
     return answer.clock_ms / 1000
 
 
-def report_of_answer(answer):
-    """Return the :class:`WorkerReport` in an answer; one that is not whole cannot be read."""
-    clock_s = clock_of_answer(answer)
+def report_from_answer(answer):
+    """Return the :class:`WorkerReport` from an answer; raise if a field is missing."""
+    clock_s = clock_from_answer(answer)
     rows = [*(answer.active or ()), *(answer.ended or ())]
     numbers = [end.number for end in answer.ended or ()]
     if any(row.task is None or row.run_id is None for row in rows) or None in numbers:
-        raise WorkerUnreachableError("the carrier's answer cannot be read")
+        raise WorkerUnreachableError("the relay's answer has a run or end without a required field")
     return WorkerReport(
         clock_s=clock_s,
         active=tuple(_run_report(run) for run in answer.active or ()),
@@ -103,12 +111,12 @@
     )
 
 
-def raise_failed(answer):
-    """Raise what the answer of a relay tells of a call that failed; return one that did not."""
+def raise_for_outcome(answer):
+    """Raise the error that a relay's answer reports; return an answer that reports success."""
     match answer.outcome:
         case CommandOutcome.DONE:
             return answer
-        case CommandOutcome.REFUSED if answer.reason == _NOBODY_LISTENS:
+        case CommandOutcome.REFUSED if answer.reason == _CONNECTION_REFUSED:
             details = {"reason": "unreached", "nobody_listens": True}
             raise WorkerRefusedError("nobody listens at the worker's address", details=details)
         case CommandOutcome.REFUSED:
@@ -119,12 +127,13 @@
             raise WorkerGoneError(answer.reason)
         case CommandOutcome.NOT_SENT:
             raise WorkerRefusedError(
-                f"the carrier did not send it: {answer.reason}", details={"reason": "unreached"}
+                f"the relay did not send the command: {answer.reason}",
+                details={"reason": "unreached"},
             )
         case CommandOutcome.NO_PAYLOAD:
             raise WorkerRefusedError(answer.reason, details={"reason": "no payload"})
         case _:
-            raise WorkerUnreachableError(answer.reason or "the carrier had no answer")
+            raise WorkerUnreachableError(answer.reason or "the relay received no answer")
 
 
 def _active_run(run):
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -4,7 +4,7 @@
 from msgspec import Struct
 
 from anvilflow.cell._leader import DEFERRED_S
-from anvilflow.cell._start_delays import MAX_AGE_S, StartDelays
+from anvilflow.cell._start_delays import MAX_REPORT_AGE_S, StartDelays
 
 from ._helpers import JOB, make_cell
 
@@ -105,7 +105,7 @@
     assert bool(refused) is safeguard
     assert all(status == 503 for status, _, _ in refused)
     assert all(1 <= int(headers[b"retry-after"]) <= 10 for _, _, headers in refused)
-    is_in_time = _longest_wait(cell, submitted) < OBJECTIVE_S + DEFERRED_S + MAX_AGE_S
+    is_in_time = _longest_wait(cell, submitted) < OBJECTIVE_S + DEFERRED_S + MAX_REPORT_AGE_S
     assert is_in_time is safeguard
 
 
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -316,7 +316,7 @@
     cell.store_faults.status = 503
     before = cell.workers["i-0"].n_holds
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before < 5.0 / _session.UNRECORDED_S + 10
+    assert cell.workers["i-0"].n_holds - before < 5.0 / _session.MAX_UNRECORDED_WAIT_S + 10
 
 
 def test_constants_fit_together():
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -90,7 +90,7 @@
 def test_stops_without_an_answer_are_sent_less_and_less_often(monkeypatch, safeguard):
     """Hundreds of stops, each sent four times a second, kept a full link full by themselves."""
     if not safeguard:
-        monkeypatch.setattr(_session, "MAX_AGAIN_S", _session.AGAIN_S)
+        monkeypatch.setattr(_session, "MAX_RETRY_DELAY_S", _session.RETRY_DELAY_S)
     clock = Clock()
     sent = []
 
--- a/anvilflow/cell/tests/test_relays.py
+++ b/anvilflow/cell/tests/test_relays.py
@@ -5,15 +5,15 @@
 from anvilflow.cell._leader_eligibility import MIN_LEADER_LINK_MBPS
 from anvilflow.cell._link_utilization import LinkUtilization
 from anvilflow.cell._payload_cache import PayloadCache
-from anvilflow.cell._relay_dispatcher import BUSY_SHARE, RelayDispatcher
+from anvilflow.cell._relay_dispatcher import BUSY_LINK_SHARE, RelayDispatcher
 from anvilflow.cell._tables import job_part
 from anvilflow.cell._worker_call_router import WorkerCallRouter
 from anvilflow.cell._worker_commands import (
     CommandOutcome,
     Verb,
-    find_flaw,
-    raise_failed,
-    report_of_answer,
+    find_command_error,
+    raise_for_outcome,
+    report_from_answer,
 )
 from anvilflow.decisions import MessageAge
 from anvilflow.exceptions import WorkerUnreachableError
@@ -62,7 +62,7 @@
 def test_leader_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
     """Its link and its processor bound the starts of the whole cell."""
     if not safeguard:
-        monkeypatch.setattr(RelayDispatcher, "are_used", False)
+        monkeypatch.setattr(RelayDispatcher, "relays_in_use", False)
     cell = _make_cell()
     before = _n_calls_to_workers(cell, cell.leader())
     _gateway_with_payload(cell, spec="0.5 done 1000")
@@ -94,7 +94,7 @@
         settings=lambda: context.settings, count=lambda: (0, bytes_per_s * cell.clock.seconds())
     )
     cell.advance(3.0)
-    is_busy = bytes_per_s >= BUSY_SHARE * MIN_LEADER_LINK_MBPS * BYTES_PER_MBIT
+    is_busy = bytes_per_s >= BUSY_LINK_SHARE * MIN_LEADER_LINK_MBPS * BYTES_PER_MBIT
     assert context.uses_relays is is_busy
 
 
@@ -230,7 +230,7 @@
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
     command = _command(cell, **values)
-    assert find_flaw(command)
+    assert find_command_error(command)
     context.relay.serve(context.links.leader_link, command)
     assert context.meters.counts["malformed_messages", ()] == 1
 
@@ -241,7 +241,9 @@
 def test_answer_that_is_not_whole_counts_as_none(values):
     """A relay's fault must not end the leader's part; the worker may have acted."""
     with pytest.raises(WorkerUnreachableError):
-        report_of_answer(raise_failed(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values})))
+        report_from_answer(
+            raise_for_outcome(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values}))
+        )
 
 
 def test_start_told_twice_begins_once():
@@ -292,15 +294,15 @@
     assert _names(2) <= {span.task for span in cell.spans}
 
 
-def _believe_relay(self, answer, command, name):
-    return command.convert(raise_failed(answer))
+def _trust_relay_answer(self, answer, command, name):
+    return command.convert(raise_for_outcome(answer))
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_relay_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
     """Its share of the workers would get no work, and what runs there would be started again."""
     if not safeguard:
-        monkeypatch.setattr(WorkerCallRouter, "_answered", _believe_relay)
+        monkeypatch.setattr(WorkerCallRouter, "_answered", _trust_relay_answer)
     cell = _make_cell(n_workers=8)
     for number in range(12):
         cell.submit(cell.leader(), f"{number:016x}", STEP, spec="6.0 done 1000")
@@ -353,14 +355,14 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_drawn_days_with_relays(monkeypatch, seed):
     """Cancelled jobs, orders that go astray, leaders and workers that are lost, as without them."""
-    monkeypatch.setattr(RelayDispatcher, "are_used", True)
+    monkeypatch.setattr(RelayDispatcher, "relays_in_use", True)
     assert DrawnDay(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_drawn_crashes_with_relays(monkeypatch, seed):
     """Tasks that crash workers are counted as without them."""
-    monkeypatch.setattr(RelayDispatcher, "are_used", True)
+    monkeypatch.setattr(RelayDispatcher, "relays_in_use", True)
     assert CrashScenario(seed=seed).play() == []
 
 
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -44,9 +44,9 @@
     starts = leader.submit(1, n_tasks=FIRST_LIMIT + 5)
     leader.queue.send_due()
     assert leader.sent == starts[:FIRST_LIMIT]
-    leader.queue.over(starts[0])
+    leader.queue.release(starts[0])
     assert leader.sent == starts[: FIRST_LIMIT + 1]
-    leader.queue.over(starts[0])
+    leader.queue.release(starts[0])
     assert len(leader.sent) == FIRST_LIMIT + 1
 
 
@@ -56,7 +56,7 @@
     leader.submit(1, n_tasks=FIRST_LIMIT + 5)
     leader.queue.send_due()
     [urgent] = leader.submit(2, n_tasks=1, queue=URGENT)
-    leader.queue.over(leader.sent[0])
+    leader.queue.release(leader.sent[0])
     assert leader.sent[-1] == urgent
 
 
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -147,7 +147,7 @@
     still to be told; taken for "not run", the task was started on another worker.
     """
     if not safeguard:
-        monkeypatch.setattr(_session, "outcome_after_silence", lambda outcome: outcome)
+        monkeypatch.setattr(_session, "outcome_after_lost_answer", lambda outcome: outcome)
     cell = PlatformCell(n_instances=2, n_workers=2)
     for worker in cell.workers.values():
         worker.n_lost_starts = 1
