--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -14,9 +14,9 @@
 #: restarted. Unit: seconds.
 LEASE_S = 3.0
 
-#: Longest wait of a lease renewal while the leader is short of processor. Lease renewals were some
-#: 1,090 of the leader's 2,012 calls in a profile of ten seconds, so longer waits save processor
-#: time. Two such waits plus the lag stay within a lease. Unit: seconds.
+#: Longest wait of a lease renewal while the leader is short of processor. Lease renewals, with and
+#: without new ends, were some 1,090 of the leader's 2,012 calls in a profile of ten seconds; longer
+#: waits make them fewer. Two such waits plus the lag stay within a lease. Unit: seconds.
 SHORT_RENEWAL_WAIT_S = 1.0
 
 #: Time within which a worker's missing registry entry may reappear before the worker is removed,
@@ -150,7 +150,7 @@
         self.starts.send_due()
 
     def n_free_start_slots(self):
-        """Return how many more starts can be queued without exceeding the send window."""
+        """Return how many more starts may be queued: as many wait as may be under way."""
         return self.starts.n_free
 
     def _send_start(self, action, waited_s):
--- a/anvilflow/cell/_payload_cache.py
+++ b/anvilflow/cell/_payload_cache.py
@@ -14,7 +14,7 @@
 
 
 class PayloadCache:
-    """Keeps payloads of recent jobs, and reads those of other jobs from the store.
+    """Keeps payloads of jobs that this instance accepted or read, and reads others from the store.
 
     Parameters
     ----------
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -16,7 +16,7 @@
 
 #: Minimum timeouts of a start, one for each try. Sending the same start again is safe: a worker
 #: that already has the run reports it. Retries replace a lost start before the other members of a
-#: gang give up. Workers answer in some 3 ms, and a leader's processor may be throttled for 0.1 s.
+#: gang give up. Workers answer in some 3 ms, and a leader's processor may stall for 0.1 s.
 #: The first timeout is short: where 6 of 100 commands have no answer, two of three lookups of ten
 #: tasks lose one, and with a timeout of 0.3 s each of them was delayed by that. Unit: seconds.
 START_TIMEOUTS_S = (0.12, 0.3, 0.3, 0.5)
@@ -126,7 +126,7 @@
         until = None if query_only else self._lease_until(sent)
         wait_s = 0.0 if query_only else self.fleet.renewal_wait()
         try:
-            report = yield self._measured(
+            report = yield self._track_round_trip(
                 self.calls.renew_leases(
                     seen=self.fleet.last_acknowledged_end(self.worker_id),
                     until_s=until,
@@ -145,7 +145,7 @@
         self.fleet.worker_reported(self.worker_id, report, sent)
         return True
 
-    def _measured(self, call, *, held_s=0.0):
+    def _track_round_trip(self, call, *, held_s=0.0):
         """Record the round trip of a call beyond the allowed delay `held_s`; return the call."""
         due_at = self.clock.seconds() + held_s
         return call.addCallbacks(self._answered, self._unanswered, callbackArgs=(due_at,))
@@ -236,7 +236,7 @@
         if not self.fleet.may_send_commands():
             return succeed("unreached")
         until = self._lease_until(self.clock.seconds())
-        call = self._measured(self.calls.start(action, until_s=until, timeout=timeout))
+        call = self._track_round_trip(self.calls.start(action, until_s=until, timeout=timeout))
         return call.addCallbacks(lambda _: "started", _start_outcome)
 
     @inlineCallbacks
@@ -246,7 +246,7 @@
         while not self.stopped:
             try:
                 timeout = self._limit_s(self.calls.timeout)
-                yield self._measured(self.calls.stop(action, timeout=timeout))
+                yield self._track_round_trip(self.calls.stop(action, timeout=timeout))
             except WorkerGoneError as exc:
                 self._failed(exc)
                 return
@@ -265,7 +265,7 @@
     def set_pace(self, action):
         """Change a run's pace; after a failure the pace is decided again with the next report."""
         try:
-            yield self._measured(
+            yield self._track_round_trip(
                 self.calls.set_pace(action, timeout=self._limit_s(self.calls.timeout))
             )
         except (WorkerRefusedError, WorkerUnreachableError) as exc:
--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -72,7 +72,7 @@
 
     @property
     def n_free(self):
-        """How many more starts the queue accepts: the limit of the window less those queued."""
+        """How many more starts may be queued: the limit of the window less the queued starts."""
         return max(0, self.window.limit - len(self))
 
     def add(self, action):
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -59,7 +59,7 @@
 
 
 class WorkerCallRouter:
-    """Routes each call to a worker over a relay or directly; has the interface of `WorkerCalls`.
+    """Makes each call to a worker over a relay or directly; interface of :class:`WorkerCalls`.
 
     Parameters
     ----------
--- a/anvilflow/cell/tests/test_relays.py
+++ b/anvilflow/cell/tests/test_relays.py
@@ -1,4 +1,4 @@
-"""Orders of a leader that is short of link or processor, made by other instances."""
+"""Commands of a leader that is short of link or processor, executed by relays."""
 
 import pytest
 
@@ -31,7 +31,7 @@
 
 
 def _make_cell(**values):
-    """Return a cell of instances with so little processor that orders are carried."""
+    """Return a cell of instances with so little processor that commands are relayed."""
     cell = make_cell(**{"n_instances": 5, "n_workers": 6, "weak": NAMES, **values})
     cell.advance(1.0)
     return cell
@@ -42,7 +42,7 @@
 
 
 def _gateway_with_payload(cell, step=STEP, **values):
-    """Submit a job at an instance that is not the leader, and return the instance."""
+    """Submit a job at an instance that is not the leader; return the instance."""
     gateway = cell.other()
     answers = cell.submit(gateway, JOB, step, **values)
     cell.advance(0.03)
@@ -59,8 +59,8 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_short_makes_no_calls_to_workers(monkeypatch, safeguard):
-    """Its link and its processor bound the starts of the whole cell."""
+def test_leader_short_of_processor_makes_no_calls_to_workers(monkeypatch, safeguard):
+    """With direct calls, the leader's link and processor would limit the starts of the cell."""
     if not safeguard:
         monkeypatch.setattr(RelayDispatcher, "relays_in_use", False)
     cell = _make_cell()
@@ -71,8 +71,8 @@
     assert (_n_calls_to_workers(cell, cell.leader()) == before) is safeguard
 
 
-def test_leader_with_room_sends_its_starts_and_jobs_have_one_row():
-    """What is cheaper where nothing is short stays as it is."""
+def test_leader_with_free_capacity_sends_its_starts_and_jobs_have_one_row():
+    """Relays and separate rows of payloads cost more where neither link nor processor is short."""
     cell = make_cell(n_instances=5, n_workers=6)
     _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(2.0)
@@ -85,8 +85,8 @@
 
 
 @pytest.mark.parametrize("bytes_per_s", [250_000, 1_000_000])
-def test_link_that_is_in_use_has_commands_carried(bytes_per_s):
-    """A leader on a wide link, too, once the share in use says that a burst would fill it."""
+def test_leader_with_a_busy_link_relays_its_commands(bytes_per_s):
+    """A burst can fill a fast link, too; commands are relayed once its share in use is high."""
     cell = make_cell(n_instances=5, n_workers=6)
     context = cell.daemons[cell.leader()].context
     context.settings.link_mbps = MIN_LEADER_LINK_MBPS
@@ -98,8 +98,8 @@
     assert context.uses_relays is is_busy
 
 
-def test_row_of_a_job_leaves_out_its_payload_and_both_end_together():
-    """A new leader reads the rows of all jobs; payloads are most of their size."""
+def test_payload_has_its_own_row_that_is_removed_with_the_job():
+    """A new leader reads the rows of all jobs; payloads would be most of their size."""
     cell = _make_cell()
     _gateway_with_payload(cell, spec="0.5 done 1000")
     part = job_part(JOB)
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("fault", ["kill", "pause", "cut from", "cut to", "restart"])
 def test_relay_is_lost_between_its_command_and_the_start(fault):
-    """Starts that it was told of are not lost, and none runs twice."""
+    """A relay fails or is cut off after it has received starts: none is lost or runs twice."""
     cell = _make_cell(n_workers=3)
     gateway = _gateway_with_payload(cell, STEP, spec="0.6 done 1000")
     leader = cell.leader()
@@ -135,8 +135,8 @@
     assert cell.check() == []
 
 
-def test_steps_of_a_job_whose_gateway_is_gone_start_from_the_payload_in_the_store():
-    """Another instance reads it: the job's row does not hold it, nor does the leader."""
+def test_steps_of_a_job_whose_gateway_is_lost_start_with_the_payload_from_the_store():
+    """Neither the job's row nor the leader has the payload, so another instance reads it."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -147,7 +147,7 @@
 
 
 def test_leader_and_relay_are_lost_together():
-    """The next leader knows neither the payload nor what was told to the relay."""
+    """The next leader has neither the payload nor the commands that the relay received."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, SECOND, spec="0.5 done 1000")
@@ -162,7 +162,7 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_command_that_waited_for_longer_than_its_limit_is_not_sent(monkeypatch, safeguard):
-    """A relay that was paused finds orders that the leader has long given up."""
+    """A relay that was paused receives commands that the leader has given up long ago."""
     if not safeguard:
         monkeypatch.setattr(MessageAge, "note", lambda self, sent_at, received_at: 0.0)
     cell = _make_cell(n_workers=1)
@@ -196,8 +196,8 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_command_of_a_former_leader_is_not_carried_out(monkeypatch, safeguard):
-    """Workers that the next leader has not reached yet would take it."""
+def test_command_of_a_former_leader_is_not_executed(monkeypatch, safeguard):
+    """A worker that the next leader has not reached yet would accept the command."""
     cell = _make_cell()
     relay = cell.other()
     _gateway_with_payload(cell, spec="0.3 done 1000")
@@ -212,8 +212,8 @@
     assert (not cell.runs_of(command.task)) is safeguard
 
 
-def test_command_from_an_instance_that_is_not_the_leader_is_not_carried_out():
-    """A former leader that has not noticed is connected for a while."""
+def test_command_from_an_instance_that_is_not_the_leader_is_not_executed():
+    """A former leader stays connected until it notices that it has been replaced."""
     cell = _make_cell()
     relay = cell.other()
     context = cell.daemons[relay].context
@@ -226,7 +226,7 @@
 
 @pytest.mark.parametrize("values", [{"verb": 99}, {"task": None}, {"address": None}])
 def test_malformed_command_is_dropped_and_counted(values):
-    """A message that cannot be carried out must not end the part that takes it."""
+    """A command of an unknown verb or with missing fields must not stop the relay part."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
     command = _command(cell, **values)
@@ -238,16 +238,16 @@
 @pytest.mark.parametrize(
     "values", [{}, {"clock_ms": 5, "active": [ActiveRun(run_id=1)]}, {"outcome": 77}]
 )
-def test_answer_that_is_not_whole_counts_as_none(values):
-    """A relay's fault must not end the leader's part; the worker may have acted."""
+def test_incomplete_answer_of_a_relay_counts_as_no_answer(values):
+    """A relay's fault must not stop the leader part; the worker may have executed the command."""
     with pytest.raises(WorkerUnreachableError):
         report_from_answer(
             raise_for_outcome(WorkerAnswer(**{"outcome": CommandOutcome.DONE, **values}))
         )
 
 
-def test_start_told_twice_begins_once():
-    """The leader repeats a start whose outcome was lost, over the same relay or another."""
+def test_start_that_is_sent_twice_runs_once():
+    """The leader repeats a start whose outcome was lost, over the same relay or another one."""
     cell = _make_cell()
     context = cell.daemons[cell.other()].context
     context.payloads.keep(JOB, "0.3 done 1000")
@@ -257,8 +257,8 @@
     assert len(cell.runs_of(f"{JOB}.9.9.9")) == 1
 
 
-def test_outcomes_that_are_lost_cost_neither_tasks_nor_a_second_run():
-    """The relay acts and its answers do not reach the leader."""
+def test_lost_answers_of_a_relay_neither_lose_tasks_nor_run_them_twice():
+    """A relay executes commands, but its answers do not reach the leader."""
     cell = _make_cell(n_workers=3)
     gateway = _gateway_with_payload(cell, spec="0.6 done 1000")
     cell.network.silence(gateway, cell.leader())
@@ -267,8 +267,8 @@
     assert cell.check() == []
 
 
-def test_job_whose_payload_is_gone_starts_nothing_and_holds_up_no_other():
-    """A row without its payload is one line in the log, not a start with another text."""
+def test_job_whose_payload_is_lost_starts_nothing_and_delays_no_other_job():
+    """The store loses a job's payload: this is logged once, and no task starts with a wrong one."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.3)
@@ -284,8 +284,8 @@
     assert leader.dump()["jobs_without_payload"] == [JOB]
 
 
-def test_store_that_is_silent_does_not_stop_relays_that_have_the_payload():
-    """Steps that follow begin in an outage of the store, too."""
+def test_relays_that_have_the_payload_start_tasks_while_the_store_is_unavailable():
+    """Later steps of a job must start during an outage of the store, too."""
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, SECOND, spec="0.5 done 1000")
     cell.advance(0.2)
@@ -299,8 +299,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_relay_cut_off_from_workers_does_not_make_them_look_dark(monkeypatch, safeguard):
-    """Its share of the workers would get no work, and what runs there would be started again."""
+def test_relay_cut_off_from_workers_does_not_make_them_unreachable(monkeypatch, safeguard):
+    """A relay gets no answers from its workers, while the leader can reach them.
+
+    Taken for unreachable, they would get no work, and their runs would be started elsewhere.
+    """
     if not safeguard:
         monkeypatch.setattr(WorkerCallRouter, "_answered", _trust_relay_answer)
     cell = _make_cell(n_workers=8)
@@ -312,13 +315,15 @@
         faults.only = {cell.other()}
     cell.advance(9.0)
     leader = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
-    is_well = not any(worker.unreachable for worker in leader.workers.values())
-    is_well = is_well and not [span for span in cell.spans if span.how in ("lapsed", "stopped")]
-    assert is_well is safeguard
+    is_unaffected = not any(worker.unreachable for worker in leader.workers.values())
+    is_unaffected = is_unaffected and not [
+        span for span in cell.spans if span.how in ("lapsed", "stopped")
+    ]
+    assert is_unaffected is safeguard
 
 
 def test_gang_of_which_one_member_is_not_started_is_stopped_as_a_whole():
-    """Its members are sent by the relay one by one; the others would wait and end alone."""
+    """A relay sends the members one by one; the others would wait for the missing one and end."""
     cell = _make_cell(n_workers=4)
     cell.workers["i-2"].n_late_starts = 4
     gang = {"count": 4, "cpu": 9000, "gang": True, "estimate-ms": 500}
@@ -329,8 +334,8 @@
     assert [span.how for span in cell.runs_of(f"{JOB}.0.0.0")] == ["stopped", "done"]
 
 
-def test_job_that_is_cancelled_while_its_starts_are_on_their_way():
-    """A start that a relay was told of may come after the stop."""
+def test_job_that_is_cancelled_while_its_starts_are_under_way():
+    """A start that was sent over a relay may reach the worker after the stop."""
     cell = _make_cell()
     gateway = cell.other()
     cell.submit(gateway, JOB, STEP, spec="30.0 done 1000")
@@ -341,7 +346,7 @@
 
 
 def test_instance_of_an_earlier_release_gets_whole_rows_and_no_commands(monkeypatch):
-    """In a rolling restart the leader may not know rows without a payload."""
+    """In a rolling restart, a leader of an earlier release can't read rows without a payload."""
     cell = _make_cell()
     for daemon in cell.daemons.values():
         monkeypatch.setattr(daemon.context, "uses_relays", False)
@@ -353,21 +358,21 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_drawn_days_with_relays(monkeypatch, seed):
-    """Cancelled jobs, orders that go astray, leaders and workers that are lost, as without them."""
+def test_random_fault_scenarios_with_relays(monkeypatch, seed):
+    """Cancelled jobs, lost commands, lost leaders and workers violate no invariant with relays."""
     monkeypatch.setattr(RelayDispatcher, "relays_in_use", True)
     assert DrawnDay(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_drawn_crashes_with_relays(monkeypatch, seed):
-    """Tasks that crash workers are counted as without them."""
+def test_random_crash_scenarios_with_relays(monkeypatch, seed):
+    """With relays, tasks that crash workers are counted as without relays."""
     monkeypatch.setattr(RelayDispatcher, "relays_in_use", True)
     assert CrashScenario(seed=seed).play() == []
 
 
 def test_commands_of_all_kinds_are_counted_by_route_and_outcome():
-    """An operator tells by them whether the leader, a relay or a worker binds."""
+    """These metrics show operators whether the leader, a relay or a worker is the bottleneck."""
     cell = _make_cell()
     gateway = _gateway_with_payload(cell, spec="0.5 done 1000")
     cell.advance(1.0)
--- a/anvilflow/cell/tests/test_start_queue.py
+++ b/anvilflow/cell/tests/test_start_queue.py
@@ -1,4 +1,4 @@
-"""Starts that wait for their turn, without network."""
+"""Tests of the start queue, without network."""
 
 from twisted.internet.task import Clock
 
@@ -12,7 +12,7 @@
 
 
 class _Leader:
-    """A scheduler with a queue of starts, and what became of them."""
+    """A scheduler with a start queue that records which starts are sent and dropped."""
 
     def __init__(self, *, n_workers=40):
         self.clock = Clock()
@@ -29,7 +29,7 @@
         )
 
     def submit(self, number, *, n_tasks, queue=USUAL, **values):
-        """Decide the starts of a job; return them."""
+        """Add a job, queue the starts that the scheduler decides, and return them."""
         step = StepSpec(n_tasks=n_tasks, cpu_milli=100, estimate_s=1.0, **values)
         starts = add_job(self.scheduler, step, job_id=f"{number:016x}")
         self.scheduler.jobs[f"{number:016x}"].queue = queue
@@ -39,7 +39,7 @@
 
 
 def test_no_more_starts_are_sent_than_the_window_allows():
-    """What is sent beyond it waits on the link, where it can be neither ordered nor taken back."""
+    """Starts beyond the window wait on the link, where they are neither reordered nor withdrawn."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=FIRST_LIMIT + 5)
     leader.queue.send_due()
@@ -50,8 +50,8 @@
     assert len(leader.sent) == FIRST_LIMIT + 1
 
 
-def test_more_urgent_start_overtakes_those_that_wait():
-    """Behind a burst of long jobs a quick one waited until the link had carried them all."""
+def test_more_urgent_start_overtakes_queued_starts():
+    """Without priority, a quick job waited until all starts of a burst of long jobs were sent."""
     leader = _Leader()
     leader.submit(1, n_tasks=FIRST_LIMIT + 5)
     leader.queue.send_due()
@@ -61,15 +61,18 @@
 
 
 def test_gang_is_sent_as_a_whole():
-    """Members that were sent alone waited at work for the others, and ended without them."""
+    """Members that were sent alone ran while waiting for the others, and ended without them."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=FIRST_LIMIT + 5, gang=True)
     leader.queue.send_due()
     assert leader.sent == starts
 
 
-def test_gang_with_a_member_whose_worker_fell_silent_is_not_sent():
-    """Its other members would wait at work for one that does not come."""
+def test_gang_with_a_member_on_an_unreachable_worker_is_not_sent():
+    """A worker becomes unreachable while its start is queued.
+
+    The other members of the gang would run while waiting for a member that is not started.
+    """
     leader = _Leader()
     starts = leader.submit(1, n_tasks=3, gang=True)
     leader.scheduler.worker_unreachable(starts[1].worker_id, 0.0)
@@ -78,8 +81,8 @@
     assert leader.dropped == starts
 
 
-def test_start_whose_worker_drains_meanwhile_is_not_sent():
-    """A start that waited must not go to a worker that takes no work any more."""
+def test_queued_start_whose_worker_begins_to_drain_is_not_sent():
+    """A worker begins to drain while a start is queued; a draining worker accepts no new work."""
     leader = _Leader()
     [start] = leader.submit(1, n_tasks=1)
     worker = leader.scheduler.workers[start.worker_id]
@@ -89,8 +92,8 @@
     assert leader.dropped == [start]
 
 
-def test_start_of_a_cancelled_job_is_taken_back():
-    """Sent and stopped again, it would load a full link twice for nothing."""
+def test_queued_start_of_a_cancelled_job_is_withdrawn():
+    """Sending the start and then its stop would load a full link twice to no effect."""
     leader = _Leader()
     leader.submit(1, n_tasks=1)
     [stop] = leader.scheduler.cancel_job(f"{1:016x}", 0.0)
@@ -102,8 +105,8 @@
     assert len(leader.queue) == 0
 
 
-def test_starts_wait_while_nothing_may_be_ordered():
-    """A leader that may have lost its place must neither send starts nor lose them."""
+def test_starts_stay_queued_while_no_commands_may_be_sent():
+    """A leader that may have been replaced must neither send starts nor discard them."""
     leader = _Leader()
     starts = leader.submit(1, n_tasks=2)
     leader.may_send_commands = False
