--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -1,4 +1,4 @@
-"""Takes the calls of clients."""
+"""Front end of an instance: serves the calls of clients."""
 
 from collections import OrderedDict
 
@@ -22,68 +22,73 @@
 from ..runtime import Part
 from ..utils import encode
 from ._context import Claimed, LeaderChanged
-from ._job_store import cancel_stored_job, read_stored_job, store_job_surely
+from ._job_store import cancel_stored_job, read_stored_job, store_job_with_read_back
 from ._recorder import answer_timeout
 from ._tables import MAX_ROW_BYTES, JobRow, without_payload
 
-#: Wait for the leader's answer before the store is asked instead. The leader answers in a few
-#: milliseconds or is changing. Unit: seconds.
+#: Timeout of a call to the leader, after which the store is read instead. The leader answers within
+#: a few milliseconds unless it is just being replaced. Unit: seconds.
 LEADER_TIMEOUT_S = 0.4
 
-#: Wait for the leader to store a job that this instance could not store. Unit: seconds.
+#: Timeout of the call that has the leader store a job which this instance could not store. Unit:
+#: seconds.
 SUBMIT_TIMEOUT_S = 0.9
 
-#: Wait for the leader to make a cancelling durable. Unit: seconds.
+#: Timeout of the call that has the leader make a cancellation durable. Unit: seconds.
 CANCEL_TIMEOUT_S = 1.2
 
-#: When a client that was refused in an outage should come back: after a third of the time that the
-#: outage has lasted, since short outages are over soon, and at least and at most this. The store's
-#: return is seen within 0.2 s, and clients come back as spread as they came. Unit: seconds.
+#: Retry-After of a call that is refused in an outage: a third of the time that the outage has
+#: lasted so far, as short outages are over soon, within these bounds. The store's recovery is
+#: detected within 0.2 s, and the retries are as spread out as the refused calls were. Unit:
+#: seconds.
 RETRY_AFTER_SHARE = 1 / 3
 MIN_RETRY_AFTER_S = 1
 MAX_RETRY_AFTER_S = 10
 
-#: What the leader's answers to a submit mean; every other one leaves the job in doubt.
-_SUBMIT_OUTCOMES = {"ok": "ok", "refused": "refused", "not home": "refused"}
+#: Results of a submit by the leader's outcome; after any other outcome the job may or may not be
+#: stored.
+_SUBMIT_RESULTS = {"ok": "ok", "refused": "refused", "not home": "refused"}
 
-#: Verbs that are counted under their own name: a client may send any text.
+#: Verbs that are counted under their own name. A client may send any text as the verb, so all
+#: others share one label value.
 _VERBS = frozenset({"POST", "GET", "DELETE"})
 
 _STATE_NAMES = frozenset(map(str, JobState))
 
-#: Time without the store and without the leader after which the balancer is told to send no new
-#: connections: this instance alone is cut off, others serve. Unit: seconds.
-CUT_OFF_S = 0.5
+#: Time without the store and without the leader after which the balancer's check fails, so that it
+#: sends no new connections: only this instance is cut off, and others serve. Unit: seconds.
+MAX_CUT_OFF_S = 0.5
 
-#: Refusals that a caller may take for an old configuration.
+#: Statuses of refusals that an outdated configuration can cause; these refusals are logged.
 _LOGGED_REFUSALS = frozenset({404, 503})
 
-#: Paths come from callers: a line holds so much of one. Unit: characters.
-MAX_LOGGED_PATH = 200
+#: Longest part of a path in a log line; clients may send paths of any length. Unit: characters.
+MAX_LOGGED_PATH_CHARS = 200
 
-#: Final states kept in memory: they never change, and clients ask again and again.
-STATES_KEPT = 2000
+#: Number of jobs whose final states are cached: these never change, and clients read them
+#: repeatedly.
+MAX_CACHED_STATES = 2000
 
 
 class GatewayPart(Part):
-    """Accepts jobs durably and answers about them."""
+    """Stores jobs durably, and serves their states, counts of pending jobs and cancellations."""
 
     prefix = "entry"
 
     def __init__(self, *, context):
         super().__init__(context=context)
-        self._ended = OrderedDict()
-        self._untold = {}
+        self._final_states = OrderedDict()
+        self._unconfirmed_jobs = {}
         self.front = None
         self._front_port = None
 
     @property
     def n_in_progress(self):
-        """Number of calls of clients that have not been answered yet."""
+        """Number of client calls that have been received and not answered yet."""
         return self.front.n_in_progress
 
     def stop_listening(self):
-        """Take no new connections of clients; those that are open are served on."""
+        """Accept no new connections of clients; open connections are still served."""
         self._front_port.stopListening()
 
     @property
@@ -93,11 +98,11 @@
 
     @property
     def closing(self):
-        """Whether connections are closed after their next answer."""
+        """Whether each connection is closed after its next answer."""
         return self.context.leaving
 
     def start(self):
-        """Listen to clients and to the balancer."""
+        """Listen for clients and for the balancer's check."""
         listen = self.context.settings.listen
         self.front = FrontResource(gateway=self)
         front = Site(self.front, timeout=60)
@@ -106,9 +111,9 @@
         ready.log = lambda request: None
         self._listen(listen.ready, ready)
         self._front_port = self._listen(listen.front, front)
-        self.on(LeaderChanged, lambda *_: self._tell_again())
-        # A leader reads the rows of all jobs when it begins.
-        self.on(Claimed, lambda *_: self._untold.clear())
+        self.on(LeaderChanged, lambda *_: self._notify_new_leader())
+        # As the new leader, this instance reads the rows of all jobs: nothing has to be reported.
+        self.on(Claimed, lambda *_: self._unconfirmed_jobs.clear())
         self.log.info("listening to clients", address=listen.front)
 
     def _listen(self, address, site):
@@ -120,19 +125,20 @@
         context = self.context
         if context.config is None or context.leaving:
             return False
-        alone = context.links is not None and not context.links.reaches_home
-        return not (alone and context.store_health.bad_for_s > CUT_OFF_S)
+        is_isolated = context.links is not None and not context.links.reaches_home
+        return not (is_isolated and context.store_health.bad_for_s > MAX_CUT_OFF_S)
 
     def answered(self, verb, status):
-        """Count an answer to a client."""
+        """Count an answer to a client by verb and status."""
         verb = verb if verb in _VERBS else "other"
         self.context.meters.count("calls", verb, str(status))
 
     def refused(self, verb, path, status, error):
-        """Log a refusal with the configuration that it went by.
+        """Log a refused call with the version and age of the configuration it was checked against.
 
-        Callers cannot tell a queue that is not known yet from one whose jobs nobody can be asked
-        about; and one instance's refusal says nothing of how old its configuration is.
+        The answer itself does not show this: a client cannot distinguish a queue that this instance
+        does not know yet from one whose jobs cannot be read at present, nor see how old the
+        configuration of the instance is.
         """
         if status not in _LOGGED_REFUSALS:
             return
@@ -140,7 +146,7 @@
         self.log.info(
             "call refused",
             verb=verb,
-            path=path[:MAX_LOGGED_PATH],
+            path=path[:MAX_LOGGED_PATH_CHARS],
             status=status,
             error=str(error),
             version=context.config.version if context.config is not None else None,
@@ -149,27 +155,37 @@
         )
 
     def not_ready(self):
-        """Refuse a call that comes before any configuration."""
-        raise NotReadyError("no configuration yet", details={"retry_after_s": 1})
+        """Refuse a call that arrives before the first configuration has been read."""
+        raise NotReadyError("no configuration has been read yet", details={"retry_after_s": 1})
 
-    # Submitting
+    # Submission
 
     @inlineCallbacks
     def submit(self, spec, queue):
-        """Accept a job durably; AF302 says it certainly was not, AF305 that it may have been."""
-        # The leader then sends none of the starts itself, and need not hold the payload.
+        """Accept a job durably.
+
+        Raises
+        ------
+        RequestError
+            AF302: the job was certainly not accepted.
+        UnknownOutcomeError
+            AF305: the job may or may not have been accepted.
+        """
+        # With relays the leader sends no starts itself and need not hold the payload: the gateway
+        # keeps it.
         gateway = self.context.name if self.context.uses_relays else ""
         value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
-            # The store refuses it however often it comes. Taken for a write in doubt, the client
-            # was told to send it again, and the instance took the store for away each time.
-            raise TooLargeError(f"the job's row is over {MAX_ROW_BYTES} bytes")
+            # The store refuses such a row every time. If that refusal counted as a write of unknown
+            # outcome, the client would be told to send the job again, and this instance would count
+            # the store as unavailable each time.
+            raise TooLargeError(f"the job's row exceeds {MAX_ROW_BYTES} bytes")
         job_id = spec.job_id
         yield self._refuse_if_late(spec, queue)
-        unsure = False
-        # A write without an answer leaves its client in doubt, and in an outage every one would be
-        # such. That the store answers again is seen within 0.15 s, without a client's request:
-        # tried again by one of them each second, every other one waited for 0.9 s.
+        in_doubt = False
+        # No write is tried in an outage: it would get no answer, and its client would not know
+        # whether the job is stored. A probe detects within 0.15 s that the store answers again.
+        # When one client's request a second served as the probe, every second request waited 0.9 s.
         if not self.context.store_health.is_bad:
             try:
                 version = yield self._store(value)
@@ -177,11 +193,11 @@
                 self.context.store_health.bad()
             except SlowWriteError as exc:
                 self.log.info("job's row not written in time", job=job_id)
-                raise UnknownOutcomeError("the job may or may not be accepted") from exc
+                raise UnknownOutcomeError("the job may or may not have been accepted") from exc
             except PlatformError as exc:
                 self.context.store_health.bad()
                 self.log.info("job's row unanswered", job=job_id, error=str(exc))
-                unsure = True
+                in_doubt = True
             else:
                 self.log.info("job accepted", job=job_id, queue=queue.name, version=version)
                 if version:
@@ -191,11 +207,11 @@
                     self._notify_leader(value, version)
                 return
         outcome = yield self._submit_at_leader(value)
-        self.log.info("job handed to the home", job=job_id, outcome=outcome, unsure=unsure)
+        self.log.info("job handed to the home", job=job_id, outcome=outcome, unsure=in_doubt)
         if outcome == "ok":
             return
-        if unsure or outcome == "unsure":
-            raise UnknownOutcomeError("the job may or may not be accepted; send it again")
+        if in_doubt or outcome == "unsure":
+            raise UnknownOutcomeError("the job may or may not have been accepted; send it again")
         raise RequestError(
             "the job was not accepted: the store is unreachable",
             details={"retry_after_s": self._retry_after()},
@@ -203,10 +219,11 @@
 
     @inlineCallbacks
     def _refuse_if_late(self, spec, queue):
-        """Refuse a job that would begin so late that it cannot be done when it should be.
+        """Refuse a job that would start too late to meet its latency objective.
 
-        Accepted, it would be done too late itself and make others late. One that may have been
-        accepted already is not refused: that it has not run would not be true.
+        If it were accepted it would be late itself and delay other jobs. A job that is stored
+        already, or whose row cannot be read, is not refused: the refusal states that the job was
+        not accepted, which might not be true.
         """
         wait_s = self.context.start_waits.wait_s(queue.priority)
         if wait_s <= _objective_s(spec, queue) or self.context.store_health.is_bad:
@@ -217,7 +234,7 @@
             return
         if state is None:
             raise OverloadedError(
-                "the job was not accepted: it would begin too late",
+                "the job was not accepted: it would start too late",
                 details={"retry_after_s": min(MAX_RETRY_AFTER_S, wait_s)},
             )
 
@@ -225,11 +242,11 @@
     def _store(self, value):
         health = self.context.store_health
         began = self.now
-        version = yield store_job_surely(
+        version = yield store_job_with_read_back(
             self.context.store,
             value,
             clock=self.context.clock,
-            doubt_s=answer_timeout(health.answer_s),
+            read_back_after_s=answer_timeout(health.answer_s),
         )
         health.answer_s = self.now - began
         health.good()
@@ -242,7 +259,7 @@
 
     def _notify_leader(self, value, version):
         job_id = value.spec.job_id
-        self._untold[job_id] = (value, version)
+        self._unconfirmed_jobs[job_id] = (value, version)
         done = self.context.links.call_leader(
             LEADER_TIMEOUT_S,
             verb="accepted",
@@ -251,69 +268,69 @@
             version=version,
             body=encode(value),
         )
-        done.addCallback(self._told, job_id)
-        done.addErrback(self._not_told, job_id)
+        done.addCallback(self._on_leader_notified, job_id)
+        done.addErrback(self._on_notify_failed, job_id)
 
-    def _told(self, reply, job_id):
+    def _on_leader_notified(self, reply, job_id):
         if reply.outcome == "ok":
-            self._untold.pop(job_id, None)
+            self._unconfirmed_jobs.pop(job_id, None)
 
-    def _tell_again(self):
-        """Tell a new leader of the jobs that the former one may not have heard of.
+    def _notify_new_leader(self):
+        """Report to a new leader the jobs that the former leader has not confirmed.
 
-        It finds them in its feed, too, but up to a second later.
+        The leader also finds them in the feed of the jobs table, but up to a second later.
         """
-        untold, self._untold = self._untold, {}
-        for value, version in untold.values():
+        unconfirmed_jobs, self._unconfirmed_jobs = self._unconfirmed_jobs, {}
+        for value, version in unconfirmed_jobs.values():
             self._notify_leader(value, version)
 
-    def _not_told(self, failure, job_id):
+    def _on_notify_failed(self, failure, job_id):
         failure.trap(AnvilflowError)
         self.log.info("home not told", job=job_id, error=str(failure.value))
 
     @inlineCallbacks
     def _submit_at_leader(self, value):
-        """Let the leader store a job; return ok, refused (certainly not stored) or unsure."""
+        """Have the leader store a job; return ok, refused (certainly not stored) or unsure."""
         if self.context.leader is not None:
             return "refused"
         try:
-            reply = yield self._ask(
+            reply = yield self._call_leader(
                 "submit", value.spec.job_id, value.queue.name, encode(value), SUBMIT_TIMEOUT_S
             )
         except NotReadyError:
             return "refused"
         except AnvilflowError:
             return "unsure"
-        return _SUBMIT_OUTCOMES.get(reply.outcome, "unsure")
+        return _SUBMIT_RESULTS.get(reply.outcome, "unsure")
 
-    def _ask(self, verb, job_id, queue, body=b"", timeout=LEADER_TIMEOUT_S):
+    def _call_leader(self, verb, job_id, queue, body=b"", timeout=LEADER_TIMEOUT_S):
         return self.context.links.call_leader(
             timeout, verb=verb, job_id=job_id, queue=queue, version=0, body=body
         )
 
-    # Asking
+    # States, counts and cancellation
 
     @inlineCallbacks
     def state(self, queue, job_id):
-        """Return a job's state; AF304 when there is no such job."""
-        known = self._ended.get(job_id)
+        """Return a job's state; raise AF304 if there is no such job."""
+        known = self._final_states.get(job_id)
         if known is not None:
             return known
         try:
-            reply = yield self._ask("state", job_id, queue.name)
+            reply = yield self._call_leader("state", job_id, queue.name)
             outcome = reply.outcome
         except AnvilflowError:
             outcome = "not home"
         if outcome in _STATE_NAMES:
-            return self._remember(job_id, JobState(outcome))
+            return self._cache_if_final(job_id, JobState(outcome))
         state = yield self._stored_state(job_id)
-        return self._remember(job_id, state)
+        return self._cache_if_final(job_id, state)
 
-    def _remember(self, job_id, state):
+    def _cache_if_final(self, job_id, state):
         if state in ENDED_STATES:
-            self._ended[job_id] = state
-            while len(self._ended) > STATES_KEPT:
-                self._ended.popitem(last=False)
+            self._final_states[job_id] = state
+            while len(self._final_states) > MAX_CACHED_STATES:
+                self._final_states.popitem(last=False)
         return state
 
     @inlineCallbacks
@@ -332,35 +349,35 @@
     def pending(self, queue):
         """Return how many of a queue's jobs have not begun.
 
-        A queue of the configuration is served whether there is a leader or not: its loss must not
-        look like a queue that is not known.
+        A queue that the configuration lists is served with or without a leader: to clients, the
+        loss of the leader must not look like an unknown queue.
         """
-        waiting = self.context.waiting
-        if self.context.leader is not None or not waiting.is_known:
+        pending_jobs = self.context.waiting
+        if self.context.leader is not None or not pending_jobs.is_known:
             n_jobs = yield self._pending_at_leader(queue)
             if n_jobs is not None:
                 return n_jobs
-        yield waiting.await_first()
-        yield waiting.refresh()
-        return waiting.count(queue.name)
+        yield pending_jobs.await_first_report()
+        yield pending_jobs.refresh()
+        return pending_jobs.count(queue.name)
 
     @inlineCallbacks
     def _pending_at_leader(self, queue):
-        """Ask the leader; return None where that does not tell.
+        """Return the leader's count of a queue's pending jobs, or None without an answer.
 
-        A leader of an earlier release does not tell by itself what waits.
+        Also covers a leader of an earlier release, whose heartbeats carry no counts.
         """
         try:
-            reply = yield self._ask("pending", "", queue.name)
+            reply = yield self._call_leader("pending", "", queue.name)
         except AnvilflowError:
             return None
         return reply.count if reply.outcome == "ok" else None
 
     @inlineCallbacks
     def cancel(self, queue, job_id):
-        """Cancel a job durably; AF304 when there is no such job."""
+        """Cancel a job durably; raise AF304 if there is no such job."""
         try:
-            reply = yield self._ask("cancel", job_id, queue.name, timeout=CANCEL_TIMEOUT_S)
+            reply = yield self._call_leader("cancel", job_id, queue.name, timeout=CANCEL_TIMEOUT_S)
             outcome = reply.outcome
         except AnvilflowError:
             outcome = "not home"
@@ -370,7 +387,7 @@
             found = yield cancel_stored_job(self.context.store, job_id)
         except PlatformError as exc:
             raise NotReadyError(
-                f"the cancelling is not durable: {exc}", details={"retry_after_s": 1}
+                f"the cancellation could not be stored: {exc}", details={"retry_after_s": 1}
             ) from exc
         self.log.info("job cancelled without its home", job=job_id, found=found)
         if not found:
@@ -378,9 +395,9 @@
 
 
 def _objective_s(spec, queue):
-    """Return when a job should be done; one that lasts or is due later has no such time.
+    """Return the time from its acceptance within which a job should be done. Unit: seconds.
 
-    Unit: seconds from its acceptance.
+    A job with long-running steps or with later occurrences has no such objective: infinity.
     """
     if spec.n_occurrences or any(step.long_running for step in spec.steps):
         return float("inf")
--- a/anvilflow/cell/_job_store.py
+++ b/anvilflow/cell/_job_store.py
@@ -1,4 +1,4 @@
-"""Accepted jobs in the store: written once by an entry, marked when they are cancelled."""
+"""Rows of accepted jobs in the store: written once by a gateway, marked when a job is cancelled."""
 
 from functools import partial
 
@@ -30,42 +30,44 @@
     write,
 )
 
-#: Longest wait for the write of a job's row. A part of the store queues for 1 s at the most and
-#: then refuses. Where the store is a hundred times as slow as usual, a write itself takes 0.3 s and
+#: Timeout of the write of a job's row. A part of the store queues a write for 1 s at most and then
+#: refuses it. When the store is a hundred times slower than usual, the write itself takes 0.3 s and
 #: its answer 0.4 s. Clients wait for 3 s. Unit: seconds.
-LONGEST_WRITE_S = 1.8
+WRITE_TIMEOUT_S = 1.8
 
-#: Least pause between readings of the row, and the wait for one. A store that answers none is away.
-#: Unit: seconds.
-READ_BACK_S = 0.3
+#: Least pause between two reads of the row, and the timeout of one read. A store that does not
+#: answer such a read counts as unavailable. Unit: seconds.
+MIN_READ_BACK_INTERVAL_S = 0.3
 READ_BACK_TIMEOUT_S = 0.6
 
-_TICK_S = 1e-4
+_CLOCK_TOLERANCE_S = 1e-4
 
 
 @inlineCallbacks
-def read_jobs(store, at_once):
+def read_jobs(store, max_concurrent):
     """Return the rows of all jobs, and the version to follow the table from.
 
-    So many parts are read at the same time; the version is the oldest of the readings.
+    At most `max_concurrent` parts are read at the same time. The version is the oldest among those
+    of the parts.
     """
-    parts = yield gather([partial(store.read, JOBS, part) for part in JOB_PARTS], at_once)
+    parts = yield gather([partial(store.read, JOBS, part) for part in JOB_PARTS], max_concurrent)
     return join_parts(parts)
 
 
 def join_parts(parts):
-    """Return the rows of all parts' readings, and the version to follow the table from."""
+    """Return the rows of all parts that were read, and the version to follow the table from."""
     rows = [row for part_rows, _ in parts for row in part_rows]
     return rows, min(version for _, version in parts)
 
 
-def gather(calls, at_once):
-    """Make calls, so many at once; return a Deferred of all results.
+def gather(calls, max_concurrent):
+    """Make calls, at most `max_concurrent` at a time; return a Deferred of all results.
 
-    It fails with the first failure itself; calls that have not begun by then are not made.
+    The Deferred fails with the error of the first call that fails. The calls in progress are then
+    cancelled, and the others are not made.
     """
-    turns = DeferredSemaphore(at_once)
-    pending = [turns.run(call) for call in calls]
+    semaphore = DeferredSemaphore(max_concurrent)
+    pending = [semaphore.run(call) for call in calls]
     done = gatherResults(pending, consumeErrors=True)
     return done.addErrback(_first_error, pending)
 
@@ -79,9 +81,10 @@
 
 @inlineCallbacks
 def store_job(store, value, *, timeout=None):
-    """Make a job durable; return the version of its row, or 0 when it was accepted before.
+    """Write a job's row; return its version, or 0 if the job was accepted before.
 
-    The row stays for a while after the job has ended: the same job may come again seconds later.
+    The row stays for a while after the job has ended, as a client may submit the same job again
+    seconds later.
     """
     job_id = value.spec.job_id
     part = job_part(job_id)
@@ -97,30 +100,32 @@
 
 
 @inlineCallbacks
-def store_job_surely(store, value, *, clock, doubt_s):
-    """Make a job durable; while the answer is out, look whether the row is there.
+def store_job_with_read_back(store, value, *, clock, read_back_after_s):
+    """Write a job's row; until the write is answered, read back whether the row is stored.
 
-    Where answers are lost, a reading finds the row after `doubt_s`. Where the store is slow the one
-    write goes on waiting. A second write would find the row, too, but it queues behind the first:
-    with the store a hundred times as slow, parts filled with second writes took 7 jobs in 2.5 s.
+    If the answer was lost, a read finds the row after `read_back_after_s`. If the store is slow,
+    the single write keeps waiting. A second write would find the row too, but would queue behind
+    the first: with the store a hundred times slower than usual, parts whose queues were full of
+    second writes accepted 7 jobs in 2.5 s.
 
     Returns
     -------
     version : int
-        Of the job's row; 0 when it was accepted before.
+        Version of the job's row; 0 if the job was accepted before.
 
     Raises
     ------
     PlatformRefusedError
-        AF404, the job is certainly not stored.
+        AF404: the job is certainly not stored.
     PlatformUnavailableError
-        AF402, it may be, or may yet be.
+        AF402: the job may be stored now or later.
     SlowWriteError
-        AF405, the same, while the store answers: another instance would do no better.
+        AF405: the job may be stored now or later, and the store answers reads: the write would be
+        no faster through another instance.
     """
-    writing = PendingResult(store_job(store, value, timeout=LONGEST_WRITE_S))
-    until = clock.seconds() + LONGEST_WRITE_S
-    pause = doubt_s
+    writing = PendingResult(store_job(store, value, timeout=WRITE_TIMEOUT_S))
+    until = clock.seconds() + WRITE_TIMEOUT_S
+    pause = read_back_after_s
     while True:
         yield writing.wait(clock, min(pause, until - clock.seconds()))
         if writing.is_known:
@@ -128,13 +133,15 @@
         try:
             row = yield _read_job_row(store, value.spec.job_id)
         except PlatformError as exc:
-            # Also a refusal: it is the reading that was refused, and the write is in doubt.
-            raise PlatformUnavailableError(f"neither written nor read: {exc}") from exc
+            # A refusal as well: only the read was refused, the outcome of the write is unknown.
+            raise PlatformUnavailableError(
+                f"the job's row is neither confirmed nor readable: {exc}"
+            ) from exc
         if row is not None:
             return row.version
-        if clock.seconds() + _TICK_S >= until:
-            raise SlowWriteError("the store has not written the job's row in time")
-        pause = max(doubt_s, READ_BACK_S)
+        if clock.seconds() + _CLOCK_TOLERANCE_S >= until:
+            raise SlowWriteError("the store has not stored the job's row in time")
+        pause = max(read_back_after_s, MIN_READ_BACK_INTERVAL_S)
 
 
 @inlineCallbacks
@@ -148,10 +155,11 @@
 
 @inlineCallbacks
 def read_stored_job(store, job_id):
-    """Return a job's :class:`JobState` and its row as the store has them, or (None, None).
+    """Return a job's :class:`JobState` and its row from the store, or (None, None).
 
-    A job that is marked as cancelled has no row here, and has not ended: its last task may end
-    before the leader reads the mark, and then it is completed. A caller was shown both.
+    A job that is marked as cancelled counts as running, and its row is not returned. Its last task
+    may end before the leader reads the mark, and then the job is completed: a client that was shown
+    the mark as the end would see first one final state and then another.
     """
     ended = yield store.read_row(ENDED, PART, job_id)
     if ended is not None:
@@ -166,7 +174,7 @@
 
 @inlineCallbacks
 def cancel_stored_job(store, job_id):
-    """Mark a job as cancelled without its leader; return False when there is no such job."""
+    """Mark a job as cancelled, without the leader; return False if there is no such job."""
     state, row = yield read_stored_job(store, job_id)
     if row is not None:
         part = job_part(job_id)
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -45,9 +45,9 @@
     def full_heartbeat(self):
         """Return the same with what waits; kept here as well, for when another is the leader."""
         waiting = self.leader.waiting()
-        self.context.waiting.told(waiting)
+        self.context.waiting.record_report(waiting)
         waits = self.leader.start_waits()
-        self.context.start_waits.told(waits)
+        self.context.start_waits.record_report(waits)
         heartbeat = self.heartbeat()
         heartbeat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
         heartbeat.waiting = waiting.counts
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -121,9 +121,9 @@
         self.context.uses_relays = bool(heartbeat.carried)
         if heartbeat.waiting is not None:
             waiting = PendingCounts(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
-            self.context.waiting.told(waiting)
+            self.context.waiting.record_report(waiting)
             waits = heartbeat.start_waits or {}
-            self.context.start_waits.told({key: ms / 1000 for key, ms in waits.items()})
+            self.context.start_waits.record_report({key: ms / 1000 for key, ms in waits.items()})
         config = self.context.config
         if config is None or heartbeat.config_version > config.version:
             self.context.config_part.hint(heartbeat.config_version)
--- a/anvilflow/cell/_pending_jobs.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -1,4 +1,4 @@
-"""How many jobs of each queue wait, as an instance knows it without asking the leader."""
+"""Counts of pending jobs by queue, which each instance keeps to answer without the leader."""
 
 from collections import Counter
 
@@ -10,35 +10,37 @@
 from ._job_store import read_jobs
 from ._tables import CANCEL_MARK, JOBS, JobRow
 
-#: Period in which the leader tells what waits, with a beat: after 0.6 s at the latest. Unit:
-#: seconds.
+#: Period in which the leader reports the counts. Reports are sent with heartbeats, so that two of
+#: them are at most 0.6 s apart. Unit: seconds.
 PENDING_HEARTBEAT_S = 0.4
 
-#: Age up to which a count is good for an answer; with the period above it is less than the two
-#: seconds old that callers were promised. Unit: seconds.
+#: Age up to which a count is used for an answer. Together with the period above, a count that a
+#: client receives is less than the guaranteed two seconds old. Unit: seconds.
 MAX_AGE_S = 1.3
 
-#: Time without a word of a leader after which the counts are given up. One that is out of reach
-#: from here may live and begin jobs, which go on being counted as if they waited. Unit: seconds.
+#: Time without a leader's report after which the counts are no longer used. A leader that this
+#: instance does not reach may still run and begin jobs, which would be counted as pending here.
+#: Unit: seconds.
 MAX_UNRESPONSIVE_S = 10.0
 
-#: Time without an answer of the store after which it is not asked: longer than the time limit of
-#: one call, since one answer that was lost says nothing about the store. Unit: seconds.
-STORE_AWAY_S = 1.0
+#: Time without an answer of the store after which it is not read. Longer than the timeout of one
+#: call, since a single lost answer does not show that the store is unavailable. Unit: seconds.
+STORE_UNAVAILABLE_S = 1.0
 
-#: Parts of the table of jobs that are read at the same time where its history is gone.
-READINGS_AT_ONCE = 8
+#: Number of parts of the jobs table that are read at the same time if its history is dropped.
+MAX_CONCURRENT_READS = 8
 
-#: Longest wait of a caller for the first word of a leader, as after the end of all instances: half
-#: of the time for which callers wait. Unit: seconds.
-FIRST_WORD_S = 1.5
+#: Longest wait of a call for a leader's first report, for example after a restart of all instances:
+#: half of the time for which clients wait. Unit: seconds.
+FIRST_REPORT_TIMEOUT_S = 1.5
 
 
 class PendingCounts(Struct, kw_only=True):
-    """What a leader tells: jobs of which nothing has begun, by queue; those of none are left out.
+    """A leader's report: the number of jobs that have not begun, by queue; zeros are left out.
 
-    `version` is the newest of the table of jobs that the leader knows. An entry tells it of a job
-    in milliseconds; up to the feed's version, those of the last second would be counted twice.
+    `version` is the newest version of the jobs table that the leader knows of. It may be newer than
+    that of the leader's feed, as gateways report their jobs to the leader within milliseconds: with
+    the feed's version, jobs of the last second would be counted twice.
     """
 
     counts: dict[str, int]
@@ -46,12 +48,13 @@
 
 
 class PendingJobs:
-    """Counts of jobs of which nothing has begun, by queue.
+    """Counts of jobs that have not begun, by queue.
 
-    The configuration alone says whether a queue is served; the leader knows how many of its jobs
-    wait. Asked for each answer, its loss would make all other instances refuse every queue until
-    there is another one, as if they did not know it. Nothing begins without a leader: what it told
-    last, and the jobs that were accepted since, are the count until then.
+    The configuration alone determines whether a queue is served; the leader knows how many of its
+    jobs are pending. If each answer needed a call to the leader, its loss would make all other
+    instances refuse every queue until the next leader begins, as if the queues were unknown. No job
+    begins without a leader, so until then the counts are those of the last report plus the jobs
+    accepted since.
 
     Parameters
     ----------
@@ -62,63 +65,65 @@
         self.context = context
         self._counts = None
         self._version = 0
-        self._known_at = 0.0
-        self._told_at = 0.0
+        self._counted_at = 0.0
+        self._reported_at = 0.0
         self._lock = DeferredLock()
         self._waiters = []
 
     @property
     def is_known(self):
-        """Whether a leader has told what waits."""
+        """Whether a leader has reported counts."""
         return self._counts is not None
 
     @property
     def is_fresh(self):
-        """Whether the counts are new enough for an answer."""
-        return self.is_known and self.context.clock.seconds() - self._known_at <= MAX_AGE_S
-
-    def told(self, waiting):
-        """Take what a leader tells."""
-        self._counts = Counter(waiting.counts)
-        self._version = waiting.version
-        self._known_at = self._told_at = self.context.clock.seconds()
+        """Whether the counts are recent enough for an answer."""
+        return self.is_known and self.context.clock.seconds() - self._counted_at <= MAX_AGE_S
+
+    def record_report(self, report):
+        """Replace the counts by those of a leader's report."""
+        self._counts = Counter(report.counts)
+        self._version = report.version
+        self._counted_at = self._reported_at = self.context.clock.seconds()
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             waiter.callback(None)
 
     def count(self, queue):
-        """Return how many jobs of a queue wait."""
+        """Return the number of pending jobs of a queue."""
         return self._counts[queue]
 
     @inlineCallbacks
-    def await_first(self):
-        """Wait until a leader has told for the first time.
+    def await_first_report(self):
+        """Wait for the first report of a leader.
 
         Raises
         ------
         NotReadyError
-            AF204, when none has in time, or none can begin since the store is away.
+            AF204: no report arrived in time, or no leader can begin without the store.
         """
         if self.is_known:
             return
         self._check_store()
         waiter = Deferred()
         self._waiters.append(waiter)
-        waiter.addTimeout(FIRST_WORD_S, self.context.clock)
+        waiter.addTimeout(FIRST_REPORT_TIMEOUT_S, self.context.clock)
         try:
             yield waiter
         except TimeoutError as exc:
             self._waiters.remove(waiter)
-            raise _not_known("no home has told yet") from exc
+            raise _unknown_count("no leader has reported yet") from exc
 
     @inlineCallbacks
     def refresh(self):
-        """Count what was accepted since the leader told; one reading for all who ask meanwhile.
+        """Add the jobs accepted since the last report, if the counts are too old.
+
+        Concurrent calls share one read of the store.
 
         Raises
         ------
         NotReadyError
-            AF204, when neither a leader nor the store tells.
+            AF204: neither a leader nor the store responds.
         """
         yield self._lock.run(self._refresh_if_old)
 
@@ -127,46 +132,46 @@
         if self.is_fresh:
             return
         requested_at, version = self.context.clock.seconds(), self._version
-        if requested_at - self._told_at > MAX_UNRESPONSIVE_S:
-            raise _not_known("no home has told for too long")
+        if requested_at - self._reported_at > MAX_UNRESPONSIVE_S:
+            raise _unknown_count("no leader has reported for too long")
         self._check_store()
         try:
             rows, newest = yield self._read_since(version)
-            accepted = _accepted(rows)
+            accepted = _queues_of_accepted_jobs(rows)
         except PlatformError as exc:
-            raise _not_known(str(exc)) from exc
+            raise _unknown_count(str(exc)) from exc
         if self._version != version:
-            # A leader has told meanwhile, and knows of these jobs.
+            # A leader's report has arrived in the meantime; it includes these jobs.
             return
         self._counts.update(accepted)
         self._version = newest
-        self._known_at = requested_at
+        self._counted_at = requested_at
 
     @inlineCallbacks
     def _read_since(self, version):
-        """Return the rows of jobs that came after a version, and the version of the reading.
+        """Return the rows of jobs that are newer than a version, and the version read up to.
 
-        Where the store has dropped its history it still has the rows themselves.
+        If the store has dropped the history since then, the table itself is read.
         """
         store = self.context.store
         try:
             found = yield store.follow(JOBS, version, wait_s=0.0)
         except RevisionGoneError:
-            rows, newest = yield read_jobs(store, READINGS_AT_ONCE)
+            rows, newest = yield read_jobs(store, MAX_CONCURRENT_READS)
             found = [row for row in rows if row.version > version], newest
         return found
 
     def _check_store(self):
-        if self.context.store_health.bad_for_s > STORE_AWAY_S:
-            raise _not_known("neither a home nor the store tells")
+        if self.context.store_health.bad_for_s > STORE_UNAVAILABLE_S:
+            raise _unknown_count("neither a leader nor the store responds")
 
 
-def _accepted(rows):
-    """Return the queue of each job that may wait among rows of the table of jobs."""
+def _queues_of_accepted_jobs(rows):
+    """Return the queue of each job that may be pending, from rows of the jobs table."""
     values = [row.value for row in rows if row.value and not row.key.endswith(CANCEL_MARK)]
     jobs = [decode(value, JobRow, error=PlatformError) for value in values]
     return [job.queue.name for job in jobs if job.spec.steps]
 
 
-def _not_known(why):
+def _unknown_count(why):
     return NotReadyError(f"how many jobs wait is not known: {why}", details={"retry_after_s": 1})
--- a/anvilflow/cell/_start_delays.py
+++ b/anvilflow/cell/_start_delays.py
@@ -17,7 +17,7 @@
         self._by_priority = {}
         self._told_at = float("-inf")
 
-    def told(self, by_priority):
+    def record_report(self, by_priority):
         """Take the waits that a leader tells, by the priority of the queue. Unit: seconds."""
         self._by_priority = by_priority
         self._told_at = self.clock.seconds()
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -1,7 +1,7 @@
-"""A queue that was added is served by every instance, whatever becomes of the leader and the feeds.
+"""A queue that an operator adds is served by every instance without a leader and without the feed.
 
-An operator's change had been confirmed long enough before; callers of the new queue were refused
-all the same, at several instances at once.
+Calls for the new queue were refused by several instances at once, although the operator's change
+had been confirmed long before.
 """
 
 import pytest
@@ -13,24 +13,24 @@
 
 from ._helpers import JOB, end_and_start_all, make_cell
 
-#: Time in which a change must be in force, and the time after a disturbance from which that holds
-#: again. Unit: seconds.
-APPLY_S = 2.0
-CONTACT_S = 3.0
+#: Time within which a change must be in force, and the time after the start of a fault from which
+#: that holds again. Unit: seconds.
+CONFIG_APPLY_S = 2.0
+RECOVERY_S = 3.0
 
-#: Period of asking. Unit: seconds.
-ASK_S = 0.05
+#: Interval between calls to an instance. Unit: seconds.
+CALL_INTERVAL_S = 0.05
 
-_ADDED = make_platform_config(5, queues=[{"name": "new", "prefix": "/new/"}])
+_CONFIG_WITH_ADDED_QUEUE = make_platform_config(5, queues=[{"name": "new", "prefix": "/new/"}])
 
 
-def _ask_all(cell, path, seconds):
-    """Ask all instances again and again; return the statuses that callers got, by instance."""
+def _call_all(cell, path, seconds):
+    """Call all instances repeatedly; return the statuses that clients received, by instance."""
     answers = {name: [] for name in cell.daemons}
-    for _ in range(round(seconds / ASK_S)):
+    for _ in range(round(seconds / CALL_INTERVAL_S)):
         for name in cell.daemons:
             answers[name].append(cell.call(name, "GET", path))
-        cell.advance(ASK_S)
+        cell.advance(CALL_INTERVAL_S)
     cell.advance(1.0)
     return {
         name: {status for answer in given for status, *_ in answer or [(None,)]}
@@ -40,18 +40,14 @@
 
 @pytest.mark.parametrize("loss", ["killed", "paused"])
 def test_added_queue_is_served_while_the_leader_is_lost(loss):
-    """The leader is lost 2.5 s after the change, and all others are asked how many jobs wait.
+    """The leader is lost 2.5 s after the change; the others refused the queue's count with 503.
 
-    They refused with 503 until the next leader had begun: 0.5 s after a kill, 0.9 s after a pause.
-    Whether a queue is served stands in the configuration, but its count was asked of the leader for
-    each answer.
-
-    Evidence. With real processes, 30 of 36 refusals said `call refused`, status 503, the newest
-    version in force for two seconds, no leader reached; the other six came while the next leader
-    began.
+    They called the leader for each count, and refused until the next leader had begun: 0.5 s after
+    a kill, 0.9 s after a pause. With real processes, 30 of 36 refusals came while no leader was
+    reached and the newest version had been in force for two seconds; six while the next one began.
     """
     cell = make_cell(n_instances=4)
-    cell.store.put("op", "config", _ADDED)
+    cell.store.put("op", "config", _CONFIG_WITH_ADDED_QUEUE)
     cell.advance(2.5)
     leader = cell.leader()
     if loss == "killed":
@@ -59,18 +55,18 @@
     else:
         cell.pause(leader)
         del cell.daemons[leader]
-    statuses = _ask_all(cell, "/new/", 3.0)
+    statuses = _call_all(cell, "/new/", 3.0)
     assert set.union(*statuses.values()) == {200}
 
 
-def _without_successor(monkeypatch, cell):
-    """Kill the leader, and let nobody claim its place."""
+def _kill_leader_without_successor(monkeypatch, cell):
+    """Kill the leader, and prevent all claims of leadership."""
     monkeypatch.setattr(LeadershipPart, "_claim", lambda self, why: succeed(None))
     cell.kill(cell.leader())
 
 
-def _n_waiting(cell, name):
-    """Return what a caller hears of the jobs that wait in the urgent queue, or the refusal."""
+def _pending_count(cell, name):
+    """Return the count of pending jobs of the urgent queue, or the status of the refusal."""
     answers = cell.call(name, "GET", "/urgent/")
     cell.advance(0.5)
     ((status, value, _),) = answers
@@ -78,40 +74,40 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_jobs_that_come_while_there_is_no_leader_are_counted(monkeypatch, safeguard):
-    """Two jobs wait, the leader dies, and three more are accepted by several instances.
+def test_jobs_accepted_without_a_leader_are_counted(monkeypatch, safeguard):
+    """Two jobs are pending, the leader is killed, and several instances accept three more.
 
-    What the leader told last is good for a moment. Kept for longer, callers would be told for the
-    whole change of leaders that two wait. The store's feed has what came since.
+    If the last report were used without a limit of its age, clients would read a count of two until
+    the next leader begins. The jobs accepted since are read from the store's feed.
     """
     cell = make_cell(n_instances=4, n_workers=1)
     too_large = {"count": 1, "cpu": 64_000}
     for number in range(2):
         cell.submit("a0", f"{number:016x}", too_large)
     cell.advance(1.0)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     if not safeguard:
         monkeypatch.setattr(_pending_jobs, "MAX_AGE_S", 60.0)
     names = list(cell.daemons)
     for number in range(2, 5):
         cell.submit(names[number % len(names)], f"{number:016x}", too_large)
     cell.advance(3.0)
-    told = [_n_waiting(cell, name) for name in names]
-    assert told == [5 if safeguard else 2] * len(names)
+    counts = [_pending_count(cell, name) for name in names]
+    assert counts == [5 if safeguard else 2] * len(names)
 
 
-def test_count_is_refused_where_nobody_has_told_for_too_long(monkeypatch):
-    """Nobody can say what has begun meanwhile: the caller is told to come again, not a guess."""
+def test_count_is_refused_after_too_long_without_a_leader(monkeypatch):
+    """How many jobs have begun since the last report is unknown: the answer is 503, not a guess."""
     cell = make_cell(n_instances=3)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     cell.advance(_pending_jobs.MAX_UNRESPONSIVE_S + 0.1)
-    assert _n_waiting(cell, next(iter(cell.daemons))) == 503
+    assert _pending_count(cell, next(iter(cell.daemons))) == 503
 
 
-def test_count_is_refused_where_the_store_is_away_too(monkeypatch):
-    """Neither a leader nor the store can be asked: refused at once, with a time to come back."""
+def test_count_is_refused_without_a_leader_and_without_the_store(monkeypatch):
+    """Neither a leader nor the store answers: the call is refused at once, with Retry-After."""
     cell = make_cell(n_instances=3)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     cell.store_faults.status = 503
     cell.advance(3.0)
     answers = cell.call(next(iter(cell.daemons)), "GET", "/urgent/")
@@ -120,23 +116,23 @@
     assert int(headers[b"retry-after"]) >= 1
 
 
-def test_history_that_is_gone_costs_neither_the_answer_nor_the_part(monkeypatch):
-    """The store has dropped the history that the count would be made from; it has the rows."""
+def test_dropped_history_fails_neither_the_count_nor_the_part(monkeypatch):
+    """The store has dropped the history from which jobs are counted: the table itself is read."""
     cell = make_cell(n_instances=3)
     cell.submit("a0", JOB, {"count": 1, "cpu": 64_000})
     cell.advance(1.0)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     cell.advance(3.0)
     cell.store.forget_history()
-    assert _n_waiting(cell, next(iter(cell.daemons))) == 1
+    assert _pending_count(cell, next(iter(cell.daemons))) == 1
     assert cell.errors == []
 
 
-def test_count_waits_for_the_first_leader_after_the_end_of_all_instances():
-    """All instances end at once; the first caller is there before one of them is the leader.
+def test_count_waits_for_the_first_leader_after_a_restart_of_all_instances():
+    """All instances restart at once, and the first calls arrive before one of them is the leader.
 
-    Refused at once, callers were told to come again by instances that knew the queue; the leader
-    began within their time.
+    Instances that knew the queue refused these calls at once, although the leader began within the
+    clients' timeout.
     """
     cell = make_cell(n_instances=3)
     end_and_start_all(cell, settle_s=0.05)
@@ -145,8 +141,8 @@
     assert [status for answer in answers for status, *_ in answer] == [200] * len(answers)
 
 
-def test_count_is_refused_at_once_where_no_leader_can_begin():
-    """The store is away, and no instance has heard a leader since its start."""
+def test_count_is_refused_at_once_if_no_leader_can_begin():
+    """The store is unavailable, and the instance has had no leader's report since its start."""
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.kill(cell.leader())
@@ -154,59 +150,59 @@
     cell.start_instance(name)
     cell.advance(0.02)
     cell.store_faults.status = 503
-    cell.advance(_pending_jobs.STORE_AWAY_S + 1.0)
+    cell.advance(_pending_jobs.STORE_UNAVAILABLE_S + 1.0)
     answers = cell.call(name, "GET", "/urgent/")
     cell.advance(0.05)
     assert [status for status, *_ in answers] == [503]
 
 
-def test_one_lost_answer_of_the_store_does_not_refuse_the_count(monkeypatch):
-    """A reading over a silent connection had no answer; the store is there, the leader is not.
+def test_count_is_not_refused_after_one_lost_answer_of_the_store(monkeypatch):
+    """Without a leader, a read over a connection that stopped responding gets no answer.
 
-    Evidence. A soak's instance refused for 0.15 s as if the store were away, until a probe had
-    shown that it was there.
+    In a soak, an instance then refused calls for 0.15 s, as if the store were unavailable, until a
+    probe was answered.
     """
     cell = make_cell(n_instances=3)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     cell.advance(2.0)
     name = next(iter(cell.daemons))
     cell.daemons[name].context.store_health.bad()
-    assert _n_waiting(cell, name) == 0
+    assert _pending_count(cell, name) == 0
+
 
+def test_jobs_accepted_without_a_leader_are_counted_after_dropped_history(monkeypatch):
+    """If the store drops its history, jobs are counted from the table.
 
-def test_count_is_told_without_a_leader_where_the_store_has_dropped_its_history(monkeypatch):
-    """Instances that lost their leader refused each queue until there was another one."""
+    Instances without a leader refused every queue until the next leader began.
+    """
     cell = make_cell(n_instances=3)
     cell.submit(cell.other(), JOB, {"count": 1, "cpu": 500}, spec="0.1 done 500")
     cell.advance(2.0)
-    _without_successor(monkeypatch, cell)
+    _kill_leader_without_successor(monkeypatch, cell)
     cell.advance(2.0)
     name = next(iter(cell.daemons))
     cell.submit(name, f"{1:016x}", {"count": 1, "cpu": 500}, spec="0.1 done 500")
     cell.advance(0.5)
     cell.store.forget_history()
     cell.advance(1.0)
-    assert _n_waiting(cell, name) == 1
+    assert _pending_count(cell, name) == 1
 
 
 @pytest.mark.parametrize("waited_s", [0.1, 0.5, 0.9, 1.3, 1.7, 2.1])
 @pytest.mark.parametrize("lead_s", [0.0, 0.6, 1.2])
-def test_change_is_in_force_in_time_after_connections_to_the_store_fell_silent(lead_s, waited_s):
-    """All connections to the store fall silent without a reset; then the operator adds a queue.
-
-    Instances went on refusing it with 404 for up to 3 s after the change. Each gave its reading of
-    the feed up 3.8 s after the call, later than a change must be in force; so did the leader, whose
-    hints help the others only once it has the change itself.
+def test_change_is_in_force_in_time_if_connections_to_the_store_stop_responding(lead_s, waited_s):
+    """All connections to the store stop responding without a reset; an operator adds a queue.
 
-    Evidence. With real processes, `call refused`, status 404, the version before, the leader
-    reached; then `configuration not read` 3.8 s after the reading began, and in force 0.25 s later.
+    Instances refused it with 404 for up to 3 s after the change. Each abandoned its read of the
+    feed only 3.8 s after the call, later than a change must be in force, and had the change 0.25 s
+    after that. So did the leader, whose hints help the others only once it has the change.
     """
     cell = make_cell(n_instances=4)
     cell.advance(waited_s)
     for name in cell.daemons:
         cell.wire.silence(name)
     cell.advance(lead_s)
-    cell.store.put("op", "config", _ADDED)
-    cell.advance(max(APPLY_S, CONTACT_S - lead_s))
-    statuses = _ask_all(cell, "/new/", 0.5)
+    cell.store.put("op", "config", _CONFIG_WITH_ADDED_QUEUE)
+    cell.advance(max(CONFIG_APPLY_S, RECOVERY_S - lead_s))
+    statuses = _call_all(cell, "/new/", 0.5)
     assert set.union(*statuses.values()) == {200}
--- a/anvilflow/cell/tests/test_cancel_marks.py
+++ b/anvilflow/cell/tests/test_cancel_marks.py
@@ -1,4 +1,4 @@
-"""Jobs that are cancelled by an instance which does not reach the leader."""
+"""Cancellation of jobs by an instance that cannot reach the leader."""
 
 import pytest
 from twisted.internet.defer import inlineCallbacks
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_mark_of_a_cancelled_job_is_not_shown_as_its_end(monkeypatch, safeguard):
-    """A client is shown that its job is cancelled, and later that it is completed.
+def test_cancel_mark_is_not_shown_as_the_final_state(monkeypatch, safeguard):
+    """A client must not read that its job is cancelled, and later that it is completed.
 
-    An instance without a leader marks the job in the store. The leader reads the marks only once a
-    second; before that the last task ends, and the leader records that the job is completed. A mark
-    is a wish: what the job has ended as is in the record of its end, and in no other row.
+    An instance without a leader marks the job in the store. The leader reads the marks once a
+    second; if the last task ends before that, the job is completed. A mark is a request: only the
+    record of the job's end holds its final state.
     """
     monkeypatch.setattr(_leader, "JOBS_FEED_S", 4.0)
     if not safeguard:
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -32,7 +32,7 @@
     before its row was durable the job would be gone with the memory of the instances.
     """
     if not safeguard:
-        monkeypatch.setattr(_gateway, "store_job_surely", _acknowledge_and_store_later)
+        monkeypatch.setattr(_gateway, "store_job_with_read_back", _acknowledge_and_store_later)
     cell = make_cell()
     _answer(cell, cell.submit(cell.other(), JOB, STEP))
     _lose_power(cell, back)
@@ -179,7 +179,7 @@
     cell.advance(settle_s)
 
 
-def _acknowledge_and_store_later(store, value, *, clock, doubt_s):
+def _acknowledge_and_store_later(store, value, *, clock, read_back_after_s):
     clock.callLater(0.01, store_job, store, value)
     return succeed(1)
 
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -93,7 +93,7 @@
     the part that the job lies in, and the store refused what came after.
     """
     if not safeguard:
-        monkeypatch.setattr(_gateway, "store_job_surely", _write_again_and_again)
+        monkeypatch.setattr(_gateway, "store_job_with_read_back", _write_again_and_again)
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.store_faults.slow_s = 0.5
@@ -112,10 +112,10 @@
 
 
 @inlineCallbacks
-def _write_again_and_again(store, value, *, clock, doubt_s):
+def _write_again_and_again(store, value, *, clock, read_back_after_s):
     for _ in range(3):
         try:
-            version = yield store_job(store, value, timeout=doubt_s)
+            version = yield store_job(store, value, timeout=read_back_after_s)
         except PlatformUnavailableError:
             continue
         return version
