--- a/anvilflow/cell/_config.py
+++ b/anvilflow/cell/_config.py
@@ -1,4 +1,4 @@
-"""Follows the operator's configuration."""
+"""The operator's configuration, read from the store's feed and on hints of the leader."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
@@ -9,36 +9,39 @@
 from ..utils import jitter
 from ._context import ConfigChanged, StoreRecovered
 
-#: Part of the time in which a change must be in force after which a reading of the feed without an
-#: answer is given up: its connection may have gone silent just as the reading began. What is left
-#: is for reading anew. The leader's hints do not help where its own feed is silent, too.
-GIVE_UP_SHARE = 0.7
+#: Share of the time within which a change must be in force that one read of the feed may take. A
+#: read without an answer is then abandoned, as its connection may have stopped responding just as
+#: the read began; the rest of the time is left for another read. The leader's hints do not help if
+#: the leader's own feed does not respond either.
+READ_TIME_SHARE = 0.7
 
-#: The part of it that the answer may take once the wait is over; the rest is how long a reading
-#: waits for a change, at the least and at the most. Unit: seconds.
-ANSWER_S = 0.8
+#: Part of the time of one read that is left for the answer after the wait for a change; and the
+#: shortest and the longest wait for a change. Unit: seconds.
+ANSWER_TIMEOUT_S = 0.8
 MIN_WAIT_S = 0.2
 MAX_WAIT_S = 2.0
 
-#: Most times that it is granted after readings that failed one after the other: a store that is
-#: late with a large configuration would be asked for it again and again, and never be heard.
-MAX_PATIENCE = 4
+#: Greatest factor by which the timeout of the answer grows after consecutive failed reads. Without
+#: growth, a store that is late with a large configuration would be read repeatedly, and each
+#: answer would come after its timeout.
+MAX_TIMEOUT_FACTOR = 4
 
-#: Outage of the store after which a reading that was made in it is given up. A store that is only
-#: late may still answer it, and answers other calls sooner than this. Unit: seconds.
-OUTAGE_S = 0.6
+#: Shortest outage of the store after which a read that was sent during the outage is abandoned. A
+#: store that is only late answers other calls sooner than this, and may still answer the read.
+#: Unit: seconds.
+MIN_OUTAGE_S = 0.6
 
-#: Wait after a reading that failed. Unit: seconds.
-AGAIN_S = 0.25
+#: Mean wait after a failed read. Unit: seconds.
+RETRY_S = 0.25
 
 
 def feed_wait_s(apply_s):
-    """Return how long one reading of the feed should wait for a change.
+    """Return the time for which one read of the feed should wait for a change. Unit: seconds.
 
     Parameters
     ----------
     apply_s : float
-        Time in which a change must be in force. Unit: seconds.
+        Time within which a change must be in force. Unit: seconds.
 
     Examples
     --------
@@ -47,11 +50,11 @@
     >>> feed_wait_s(17.0)
     2.0
     """
-    return min(MAX_WAIT_S, max(MIN_WAIT_S, GIVE_UP_SHARE * apply_s - ANSWER_S))
+    return min(MAX_WAIT_S, max(MIN_WAIT_S, READ_TIME_SHARE * apply_s - ANSWER_TIMEOUT_S))
 
 
 class ConfigPart(Part):
-    """Keeps the newest configuration that this process has seen; it never takes an older one."""
+    """Keeps the newest configuration that this process has read; an older one never replaces it."""
 
     prefix = "config"
 
@@ -59,64 +62,70 @@
         super().__init__(context=context)
         self._version = None
         self._hinted = None
-        self._arriving = False
-        self._not_understood = False
-        self._away_since = None
+        self._is_arriving = False
+        self._is_unreadable = False
+        self._failing_since = None
         self._n_failed = 0
         self._reading = None
         self._read_at = 0.0
-        self._is_read_anew = False
+        self._is_cancelled_for_retry = False
 
     def start(self):
-        """Read the configuration, and follow its changes."""
+        """Read the configuration and follow its changes."""
         self.context.config_part = self
-        self.on(StoreRecovered, self._store_answers)
+        self.on(StoreRecovered, self._on_store_recovered)
         self.every(0.0, self._follow)
 
-    def _store_answers(self, _, answers):
-        """Read anew: what was asked in an outage has no answer, however long it is waited for.
+    def _on_store_recovered(self, _, recovered):
+        """Cancel and repeat a read that was sent during an outage, as it will get no answer.
 
-        Each failure has made the wait longer. Until it was over, callers were refused by a
-        configuration that had changed since the store returned.
+        The timeout of the read has grown with each failure. Until it expired, clients' calls were
+        refused by an old configuration although the store was back and had a newer one.
         """
-        # An outage is noticed by a call that was out for its whole time limit.
-        was_asked_in_it = self._read_at >= self.now - answers.away_s - ANSWER_S
-        if answers.away_s < OUTAGE_S or not was_asked_in_it or self._arriving:
+        # The outage began before it was detected, which takes the whole timeout of one call.
+        was_sent_in_outage = self._read_at >= self.now - recovered.away_s - ANSWER_TIMEOUT_S
+        if recovered.away_s < MIN_OUTAGE_S or not was_sent_in_outage or self._is_arriving:
             return
         if self._reading is not None:
-            self._is_read_anew = True
+            self._is_cancelled_for_retry = True
             self._reading.cancel()
 
     def hint(self, version):
-        """Another instance has this version: read at once if ours is older, and not on its way.
+        """Read the configuration at once if another instance has a newer version.
 
-        The feed's connection may have gone silent. If its answer is arriving, a second one would
-        halve the bandwidth of the first: on slow links both then came too late. And if what the
-        store has is not understood here, it would be read again with each beat of the leader.
+        The feed's connection may have stopped responding. Nothing is read while the feed's answer
+        is arriving: a second answer would halve the bandwidth of the first, and on slow links both
+        then came too late. Nothing is read either if the last configuration could not be decoded:
+        it would be read again with each heartbeat of the leader.
+
+        Parameters
+        ----------
+        version : int
+            Version of the configuration that the other instance has.
         """
         config = self.context.config
-        is_news = config is None or version > config.version
-        is_needless = self._arriving or self._not_understood or self._hinted is not None
-        if not is_news or is_needless:
+        is_newer = config is None or version > config.version
+        is_redundant = self._is_arriving or self._is_unreadable or self._hinted is not None
+        if not is_newer or is_redundant:
             return
         self._hinted = reading = self._read_hinted()
         reading.addErrback(lambda failure: failure.trap(PlatformError))
         reading.addErrback(self.fail_with)
-        reading.addBoth(self._hint_done)
+        reading.addBoth(self._hinted_read_finished)
 
-    def _hint_done(self, _):
+    def _hinted_read_finished(self, _):
         self._hinted = None
 
-    def _begin(self):
-        """The feed's answer begins to arrive: what was read for a hint is needless now."""
-        self._arriving = True
+    def _on_answer_begun(self):
+        """Cancel the read made for a hint, as the feed's answer has begun to arrive."""
+        self._is_arriving = True
         if self._hinted is not None:
             self._hinted.cancel()
 
     @inlineCallbacks
     def _follow(self):
         self._read_at = self.now
-        self._reading = self._changes()
+        self._reading = self._read_changes()
         try:
             rows, version = yield self._reading
         except RevisionGoneError:
@@ -124,87 +133,89 @@
             self._version = None
             return
         except PlatformError as exc:
-            if self._is_read_anew:
+            if self._is_cancelled_for_retry:
                 return
-            is_first = self._away_since is None
-            self._note_failed(exc)
+            is_first = self._failing_since is None
+            self._record_failed_read(exc)
             self.context.store_health.bad()
-            # The version stays: what has changed since is all that has to come over the link. An
-            # answer that was lost says nothing about the store, and took its time already.
+            # The version is kept, so that only later changes have to be transferred. There is no
+            # pause after a first lost answer: it does not show that the store is unavailable, and
+            # the read has already taken its whole timeout.
             if not (is_first and isinstance(exc, PlatformUnavailableError)):
                 yield self._pause()
             return
         finally:
             self._reading = None
-            self._is_read_anew = False
-        self._note_read()
+            self._is_cancelled_for_retry = False
+        self._record_success()
         self.context.store_health.good()
-        self._take_rows(rows, "read" if self._version is None else "feed")
+        self._apply_rows(rows, "read" if self._version is None else "feed")
         self._version = version
 
-    def _note_failed(self, error):
-        # Said once: an outage of ten seconds wrote forty lines an instance.
+    def _record_failed_read(self, error):
+        # Logged once per outage: an outage of ten seconds wrote forty lines for each instance.
         self._n_failed += 1
-        if self._away_since is None:
-            self._away_since = self.now
+        if self._failing_since is None:
+            self._failing_since = self.now
             self.log.warning("configuration not read", error=str(error))
 
-    def _note_read(self):
-        if self._away_since is not None:
-            after_s = round(self.now - self._away_since, 3)
+    def _record_success(self):
+        if self._failing_since is not None:
+            after_s = round(self.now - self._failing_since, 3)
             self.log.info("configuration read again", after_s=after_s, n_failed=self._n_failed)
-        self._away_since = None
+        self._failing_since = None
         self._n_failed = 0
 
     @inlineCallbacks
-    def _changes(self):
-        """Return the rows that have changed, or all of them, and the version to go on from."""
+    def _read_changes(self):
+        """Return the rows that have changed, or all rows, and the version to continue from."""
         store = self.context.store
         try:
             if self._version is None:
-                found = yield store.read(OPERATOR_TABLE, "", on_begin=self._begin)
+                found = yield store.read(OPERATOR_TABLE, "", on_begin=self._on_answer_begun)
             else:
                 found = yield store.follow(
                     OPERATOR_TABLE,
                     self._version,
                     wait_s=feed_wait_s(self.context.settings.bounds.config_apply_s),
-                    answer_s=ANSWER_S * min(MAX_PATIENCE, 2**self._n_failed),
-                    on_begin=self._begin,
+                    answer_s=ANSWER_TIMEOUT_S * min(MAX_TIMEOUT_FACTOR, 2**self._n_failed),
+                    on_begin=self._on_answer_begun,
                 )
         finally:
-            self._arriving = False
+            self._is_arriving = False
         return found
 
     @inlineCallbacks
     def _read_hinted(self):
         rows, _ = yield self.context.store.read(OPERATOR_TABLE, "")
-        self._take_rows(rows, "hint")
+        self._apply_rows(rows, "hint")
 
-    def _take_rows(self, rows, source):
+    def _apply_rows(self, rows, source):
         for row in rows:
             if row.key == CONFIG_KEY and row.value is not None:
-                self._take_row(row, source)
+                self._apply_row(row, source)
 
-    def _take_row(self, row, source):
-        """Take a configuration; one that is not understood leaves the last one in force.
+    def _apply_row(self, row, source):
+        """Apply a configuration; one that cannot be decoded leaves the last one in force.
 
-        As a fault of this part it ended all instances at the same time, and again after each start.
+        When the error was raised as a fault of this part, all instances ended at the same time, and
+        again after each restart.
         """
         try:
-            self._take(row.value, source)
+            self._apply_config(row.value, source)
         except PlatformError as exc:
-            self._not_understood = True
+            self._is_unreadable = True
             self.log.warning(
                 "configuration not understood", row_version=row.version, error=str(exc)
             )
         else:
-            self._not_understood = False
+            self._is_unreadable = False
 
     def _pause(self):
-        delay = jitter(self.context.random_state, AGAIN_S)
+        delay = jitter(self.context.random_state, RETRY_S)
         return deferLater(self.context.clock, delay, lambda: None)
 
-    def _take(self, body, source):
+    def _apply_config(self, body, source):
         config = decode_config(body)
         known = self.context.config
         if known is not None and config.version <= known.version:
--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -1,14 +1,11 @@
-"""When a configuration is in force on instances whose links are slow.
-
-An operator's 1,400 new routes came to all instances at once. Those on fast links had them in 0.1 s;
-nearly all on links of 5 Mbit/s kept the old routes for good, served what had been dropped, refused
-what had been added, and answered everything else late.
-
-Evidence. Each slow instance logged `configuration not read: TimeoutError(3.8)` once, 1.9 s after
-the change, and nothing more; from then on its link was full. The answer needs 1.8 s on such a link.
-It had been given what was left of 3.8 s from the call, in which it had waited for the change, and
-every later reading 0.8 s, so that none could end. A second reading, for the leader's hint, halved
-the bandwidth of the first.
+"""Time until a configuration is in force, also on slow links and in outages of the store.
+
+After 1,400 routes were added, instances on fast links had them in 0.1 s, while nearly all on links
+of 5 Mbit/s kept the old routes permanently: they served dropped routes, refused added ones, and
+answered all other calls late. The configuration takes 1.8 s on such a link. The first read failed
+1.9 s after the change, as its timeout of 3.8 s included the wait for the change; each later read
+had 0.8 s, so that none could succeed and the link stayed full. A second read, for the leader's
+hint, halved the bandwidth of the first.
 """
 
 import pytest
@@ -24,10 +21,10 @@
 
 _CALL = WireClient.call
 
-#: A link of 5 Mbit/s. Unit: bytes a second.
-SLOW = 625_000
+#: Bandwidth of a link of 5 Mbit/s. Unit: bytes per second.
+SLOW_LINK_BYTES_PER_S = 625_000
 
-#: Time within which a change must be in force on the larger deployments. Unit: seconds.
+#: Time within which a change must be in force in larger deployments. Unit: seconds.
 APPLY_S = 3.0
 
 #: The same in the smallest deployments. Unit: seconds.
@@ -47,7 +44,7 @@
     cell = make_cell(n_instances=n_instances)
     for name in cell.daemons:
         if name != cell.leader():
-            cell.wire.slow_link(name, SLOW)
+            cell.wire.slow_link(name, SLOW_LINK_BYTES_PER_S)
     return cell
 
 
@@ -59,7 +56,7 @@
     ("waited_s", "safeguard"), [(0.1, True), (0.2, True), (0.4, True), (0.9, True), (0.4, False)]
 )
 def test_large_configuration_is_in_force_in_time_over_slow_links(monkeypatch, waited_s, safeguard):
-    """The change comes at any moment of the feed's wait of two seconds."""
+    """The change comes at different moments of the two seconds for which the feed waits."""
     if not safeguard:
         monkeypatch.setattr(WireClient, "call", _call_with_whole_limit)
     cell = _slow_cell()
@@ -77,7 +74,7 @@
 
 
 def test_instance_on_a_slow_link_starts_with_a_large_configuration():
-    """It is restarted: its first reading takes longer than the store's usual answer."""
+    """After a restart, the first read takes longer than the store's usual answer."""
     cell = _slow_cell()
     cell.store.put("op", "config", _big_config(5))
     cell.advance(6.0)
@@ -91,15 +88,14 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_slow_link_carries_a_large_configuration_once(monkeypatch, safeguard):
-    """A caller asks after its job at the end of the day, and has no answer in time.
+def test_large_configuration_is_transferred_once_over_a_slow_link(monkeypatch, safeguard):
+    """A client's call is answered late, as the link of its instance is full of configurations.
 
-    The instance that it asked had a full link: with the feed's answer came the readings for the
-    leader's hints, and after them one try after another. Seen as 0.6 MB a second into each slow
-    instance for fifty seconds, while no other call of the same instances failed.
+    Reads for the leader's hints were transferred beside the feed's answer, and then retries: 0.6 MB
+    a second into each slow instance for fifty seconds.
     """
     if not safeguard:
-        monkeypatch.setattr(ConfigPart, "_begin", lambda self: None)
+        monkeypatch.setattr(ConfigPart, "_on_answer_begun", lambda self: None)
     cell = _slow_cell()
     cell.advance(0.2)
     cell.store.put("op", "config", _big_config(5))
@@ -111,11 +107,13 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_change_is_in_force_in_time_where_the_feeds_connection_is_silent(monkeypatch, safeguard):
-    """The feed's connection goes silent without a reset just before the operator's change.
+def test_change_is_in_force_in_time_if_the_feeds_connection_stops_responding(
+    monkeypatch, safeguard
+):
+    """The feed's connection stops responding without a reset just before an operator's change.
 
-    The feed finds that out 1.4 s after its call. The leader's hint makes the instance read at once,
-    over another connection.
+    The feed detects that 1.4 s after its call. On the leader's hint, the instance reads the
+    configuration at once over another connection.
     """
     if not safeguard:
         monkeypatch.setattr(ConfigPart, "hint", lambda self, version: None)
@@ -123,28 +121,28 @@
     name = cell.other()
     config = cell.daemons[name].supervisor.part("config")
     cell.advance(1.2)
-    monkeypatch.setattr(config, "_take_rows", _without_feed(config._take_rows))
+    monkeypatch.setattr(config, "_apply_rows", _ignoring_feed(config._apply_rows))
     cell.store.put("op", "config", make_platform_config(5))
     cell.advance(1.0)
     assert (cell.daemons[name].context.config.version == 5) is safeguard
 
 
-def _without_feed(take):
-    return lambda rows, source: None if source == "feed" else take(rows, source)
+def _ignoring_feed(apply_rows):
+    return lambda rows, source: None if source == "feed" else apply_rows(rows, source)
 
 
-def test_leader_with_an_older_configuration_goes_by_that_of_the_jobs_gateway(monkeypatch):
-    """An operator moves a queue to another service; a caller's job runs by the former one.
+def test_leader_with_an_older_configuration_uses_that_of_the_jobs_gateway(monkeypatch):
+    """An operator moves a queue to another service, and a client's job runs on the former one.
 
-    The instance that took the job has the change, the leader does not yet, as while its feed is
-    silent. It knew the queue by its own configuration, and that went first, however old it was.
+    The gateway has the change; the leader does not yet, as when its feed does not respond. The
+    leader used its own configuration of the queue first, however old it was.
     """
     cell = make_cell(n_instances=3)
     moved = cell.workers["i-3"]
     cell.store.put("servers", "i-3", {**moved.entry(), "service": "annex"})
     cell.advance(0.5)
     leader = cell.daemons[cell.leader()].supervisor.part("config")
-    monkeypatch.setattr(leader, "_take_rows", lambda rows, source: None)
+    monkeypatch.setattr(leader, "_apply_rows", lambda rows, source: None)
     queues = [{"name": "urgent", "prefix": "/urgent/", "service": "annex"}]
     cell.store.put("op", "config", make_platform_config(5, queues=queues))
     cell.advance(0.5)
@@ -158,17 +156,16 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_answer_that_begins_late_is_waited_for_after_it_was_given_up(monkeypatch, safeguard):
-    """The store takes 1.5 s to begin each answer, as where it is short of processor.
+def test_timeout_grows_until_a_late_answer_is_received(monkeypatch, safeguard):
+    """The store takes 1.5 s to begin each answer, for example when it is short of processor.
 
-    A reading that is given up in time for a silent connection is given up each time, and the
-    store makes each answer in vain: the change never comes into force.
-
-    Evidence. A soak beside other plays: instances gave up a configuration of 1 MB twice and had
-    not taken it 3.2 s after the change, whatever their link.
+    With a constant timeout, short enough for connections that stop responding, each read is
+    abandoned and the change never comes into force. In a soak on a busy machine, instances
+    abandoned a configuration of 1 MB twice and did not have it 3.2 s after the change, whatever
+    their link.
     """
     if not safeguard:
-        monkeypatch.setattr(_config, "MAX_PATIENCE", 1)
+        monkeypatch.setattr(_config, "MAX_TIMEOUT_FACTOR", 1)
     cell = make_cell(n_instances=3)
     cell.store_faults.slow_s = 1.5
     cell.advance(3.0)
@@ -179,9 +176,9 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_change_after_an_outage_is_in_force_in_time(monkeypatch, safeguard):
-    """A reading that was made in the outage was waited for long after the store had returned."""
+    """A read sent during an outage delays the change until its timeout, long after the outage."""
     if not safeguard:
-        monkeypatch.setattr(ConfigPart, "_store_answers", lambda *_: None)
+        monkeypatch.setattr(ConfigPart, "_on_store_recovered", lambda *_: None)
     late = []
     for tenths in range(22, 66, 4):
         cell = make_cell(n_instances=3)
@@ -196,17 +193,17 @@
     assert (not late) is safeguard
 
 
-_MALFORMED = {"version": 7, "routes": 5}
+_UNREADABLE_CONFIG = {"version": 7, "routes": 5}
 
 
-def test_configuration_that_is_not_understood_leaves_the_last_one_in_force():
-    """Another release's operator writes a configuration that this one cannot read.
+def test_unreadable_configuration_leaves_the_last_one_in_force():
+    """An operator of another release writes a configuration that this release cannot decode.
 
-    Every instance took that for a fault of its own, read it again after each restart, and ended
-    after six of them: all at the same time, and callers had nobody left to ask.
+    Every instance treated that as a fault of one of its parts, read it again after each restart of
+    the part, and ended after six restarts: all at the same time, so that no instance was left.
     """
     cell = make_cell(n_instances=3)
-    cell.store.put("op", "config", _MALFORMED)
+    cell.store.put("op", "config", _UNREADABLE_CONFIG)
     cell.advance(10.0)
     assert cell.errors == []
     assert _versions(cell) == {1}
@@ -216,10 +213,10 @@
     assert _versions(cell) == {8}
 
 
-def test_instance_that_starts_without_a_configuration_it_understands_waits_for_one():
-    """It refuses with 503, tells the balancer that it is not ready, and takes the next one."""
+def test_instance_that_starts_without_a_readable_configuration_waits_for_one():
+    """The instance answers 503 and fails the balancer's check until a readable one is in force."""
     cell = make_cell(n_instances=3)
-    cell.store.put("op", "config", _MALFORMED)
+    cell.store.put("op", "config", _UNREADABLE_CONFIG)
     cell.kill("a1")
     daemon = cell.start_instance("a1")
     cell.advance(10.0)
@@ -231,12 +228,12 @@
     assert cell.call("a1", "GET", "/urgent/")[0][0] == 200
 
 
-def test_configuration_that_is_not_understood_is_not_read_with_each_beat_of_the_leader():
-    """The leader, of a newer release, has understood it, and says so five times a second."""
+def test_unreadable_configuration_is_not_read_with_each_heartbeat_of_the_leader():
+    """The leader, of a newer release, can read it, and sends its version five times a second."""
     cell = make_cell(n_instances=3)
     name, leader = cell.other(), cell.leader()
     cell.daemons[leader].context.config = decode_config(encode(make_platform_config(7)))
-    cell.store.put("op", "config", _MALFORMED)
+    cell.store.put("op", "config", _UNREADABLE_CONFIG)
     cell.advance(1.0)
     before = cell.daemons[name].context.store.n_reads
     cell.advance(10.0)
@@ -244,11 +241,11 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "status"])
-def test_outage_of_the_store_costs_a_slow_link_no_second_reading(kind):
-    """The store is away for six seconds, and the configuration did not change.
+def test_configuration_is_not_read_again_over_a_slow_link_after_an_outage(kind):
+    """The store is unavailable for six seconds, and the configuration does not change.
 
-    Read whole after each failure, a large one kept slow links full for two seconds, just when
-    callers who had been refused came back.
+    When the whole configuration was read after each failure, slow links were full for two seconds
+    just as clients that had been refused retried their calls.
     """
     cell = _slow_cell()
     cell.store.put("op", "config", _big_config(5))
@@ -266,14 +263,12 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_refused_feed_does_not_break_off_what_is_read_for_a_hint(monkeypatch, safeguard):
-    """The store refuses the feed of an instance on a slow link, as it does above its rate.
-
-    The leader's hint makes the instance read the configuration, which takes 2 s there. Each refusal
-    of the feed, four a second, was taken for the beginning of its answer and broke the reading off:
-    the old configuration stayed in force, and the link was full of what was thrown away.
+def test_refused_feed_does_not_cancel_the_read_for_a_hint(monkeypatch, safeguard):
+    """The store refuses the feed of an instance on a slow link, as it does above its rate limit.
 
-    Evidence. Found by reading; with the feed refused for 5.5 s a change had not come after 3 s.
+    On the leader's hint the instance reads the configuration, which takes 2 s there. Each refusal,
+    four a second, was treated as the beginning of the feed's answer and cancelled that read: with
+    the feed refused for 5.5 s, a change was not in force after 3 s, and the link was full.
     """
     if not safeguard:
         monkeypatch.setattr(_store, "_brings_rows", lambda status: True)
