--- a/anvilflow/cell/__init__.py
+++ b/anvilflow/cell/__init__.py
@@ -1,4 +1,4 @@
-"""Instances of a cell on the users' platform: accept jobs, elect a leader, run tasks on workers."""
+"""Instances of a cell, which accept jobs, elect a leader and run tasks on workers."""
 
 from ._context import CellContext
 from ._daemon import CellDaemon, make_cell_daemon, run_cell
--- a/anvilflow/cell/__main__.py
+++ b/anvilflow/cell/__main__.py
@@ -1,4 +1,4 @@
-"""Run an instance: ``python -m anvilflow.cell``, settings as ANVILFLOW_CONFIG names them."""
+"""Run an instance: ``python -m anvilflow.cell``; ANVILFLOW_CONFIG is the path of its settings."""
 
 import os
 import sys
@@ -12,7 +12,7 @@
 
 
 def main():
-    """Run until SIGTERM."""
+    """Run an instance until SIGTERM; return the exit status."""
 
     def load():
         return load_cell_settings(os.environ.get("ANVILFLOW_CONFIG", ""))
--- a/anvilflow/cell/_daemon.py
+++ b/anvilflow/cell/_daemon.py
@@ -1,4 +1,4 @@
-"""One instance of the cell: its parts under a supervisor, and its end."""
+"""One instance of the cell: its parts under a supervisor, reloading of settings and shutdown."""
 
 import signal
 import time
@@ -22,26 +22,27 @@
 from ._standby_tables import StandbyTablesPart
 from ._store_probe import StoreProbePart
 
-#: Wait for an answer of the store. It answers in 4 ms; slowed sixty times, in 0.25 s.
-#: Unit: seconds.
+#: Timeout of a call to the store. The store answers within 4 ms, and within 0.25 s when it is sixty
+#: times slower. Unit: seconds.
 STORE_TIMEOUT_S = 0.8
 
-#: Wait for a worker's answer to an order. Unit: seconds.
+#: Timeout of a command to a worker. Unit: seconds.
 WORKER_TIMEOUT_S = 0.4
 
-#: Wait for advice: the longest calls take 0.9 s, and one may wait behind another. Unit: seconds.
+#: Timeout of an advice request. The longest requests take 0.9 s, and one may queue behind another.
+#: Unit: seconds.
 ADVICE_TIMEOUT_S = 2.8
 
-#: Part of the time until SIGKILL that is left over when the process ends by itself. Unit: seconds.
-END_MARGIN_S = 1.0
+#: Time that is left until SIGKILL when the process ends by itself. Unit: seconds.
+SIGKILL_MARGIN_S = 1.0
 
-#: Least time between SIGTERM and the end: the balancer misses two checks, a second apart, before it
-#: sends no new connections. Unit: seconds.
-BALANCER_S = 2.5
+#: Time from SIGTERM until the balancer sends no new connections: it stops after two failed checks,
+#: a second apart. The process runs at least this long. Unit: seconds.
+BALANCER_REMOVAL_S = 2.5
 
-#: Time for what clients had sent before the port was closed to arrive, and for the last answers to
-#: leave; the period of looking whether there are any. Unit: seconds.
-LAST_CALLS_S = 0.2
+#: Time in which calls sent before the port was closed arrive and the last answers are transmitted;
+#: also the period of the check for calls in progress. Unit: seconds.
+LAST_CALLS_INTERVAL_S = 0.2
 
 _log = Logger("daemon")
 
@@ -53,7 +54,7 @@
     ----------
     context : CellContext
     give_up : callable
-        Called with the error when a part keeps failing.
+        Called with the error if a part keeps failing.
     """
 
     def __init__(self, *, context, give_up):
@@ -79,12 +80,12 @@
         self.supervisor.start()
 
     def dump(self):
-        """Return the state of each part as plain values."""
+        """Return the state of the parts as plain values, by name of the part."""
         names = ("links", "config", "home", "leadership", "entry")
         return {name: self.supervisor.part(name).dump() for name in names}
 
     def reload(self, load):
-        """Take newer settings whole, or keep the old ones and say why.
+        """Replace all settings by newer ones, or keep the old ones and log why.
 
         Parameters
         ----------
@@ -112,24 +113,24 @@
 
     @inlineCallbacks
     def drain(self):
-        """Hand over what is held here and finish what is in progress, then stop."""
+        """Hand over this instance's duties, finish the calls in progress, and stop all parts."""
         context = self.context
         if context.leaving:
             return
         context.leaving = True
         _log.info("leaving")
         context.bus.post(Leaving())
-        end_at = context.clock.seconds() + context.settings.bounds.grace_s - END_MARGIN_S
-        yield self._sleep_until(min(end_at, context.clock.seconds() + BALANCER_S + 1.0))
+        end_at = context.clock.seconds() + context.settings.bounds.grace_s - SIGKILL_MARGIN_S
+        yield self._sleep_until(min(end_at, context.clock.seconds() + BALANCER_REMOVAL_S + 1.0))
         yield self._answer_last_calls(end_at)
         yield self.supervisor.stop()
         _log.info("stopped")
 
     @inlineCallbacks
     def _answer_last_calls(self, end_at):
-        """Take no more connections, and wait for the calls that are in progress.
+        """Accept no more connections, and wait for the calls in progress until `end_at`.
 
-        A process that ends takes them along: their clients hear nothing, and do not know whether
+        If the process ended earlier, their clients would get no answer, and would not know whether
         their jobs were accepted.
         """
         gateway = self.supervisor.part("entry")
@@ -138,7 +139,9 @@
         gateway.stop_listening()
         is_idle = False
         while not is_idle and self.context.clock.seconds() < end_at:
-            yield self._sleep_until(min(end_at, self.context.clock.seconds() + LAST_CALLS_S))
+            yield self._sleep_until(
+                min(end_at, self.context.clock.seconds() + LAST_CALLS_INTERVAL_S)
+            )
             is_idle = gateway.n_in_progress == 0
 
     def _sleep_until(self, at):
@@ -188,7 +191,7 @@
     ----------
     settings : CellSettings
     load : callable
-        Reads the settings anew, at SIGHUP.
+        Returns the settings, read again at SIGHUP.
     """
     from twisted.internet import reactor
 
@@ -202,15 +205,15 @@
 
     daemon = make_cell_daemon(settings, reactor=reactor, give_up=give_up)
 
-    def terminated(_, __):
+    def on_sigterm(_, __):
         reactor.callFromThread(lambda: daemon.drain().addBoth(lambda _: reactor.stop()))
 
-    reactor.callWhenRunning(signal.signal, signal.SIGTERM, terminated)
+    reactor.callWhenRunning(signal.signal, signal.SIGTERM, on_sigterm)
 
-    def reload_asked(_, __):
+    def on_sighup(_, __):
         reactor.callFromThread(daemon.reload, load)
 
-    reactor.callWhenRunning(signal.signal, signal.SIGHUP, reload_asked)
+    reactor.callWhenRunning(signal.signal, signal.SIGHUP, on_sighup)
     reactor.callWhenRunning(daemon.start)
     _log.info("started", incarnation=daemon.context.incarnation)
     reactor.run(installSignalHandlers=True)
--- a/anvilflow/cell/_diagnostics.py
+++ b/anvilflow/cell/_diagnostics.py
@@ -1,4 +1,4 @@
-"""Shows operators what an instance counts and holds; never to clients."""
+"""Metrics and a dump of the state of an instance, served to operators only, never to clients."""
 
 from twisted.internet.error import CannotListenError
 from twisted.web.resource import Resource
@@ -18,7 +18,7 @@
         self.dumps = {}
 
     def start(self):
-        """Listen, if the settings name an address; without it nothing else is worse off."""
+        """Listen if the settings name an address; no other part depends on it."""
         address = self.context.settings.listen.metrics
         if not address:
             return
@@ -40,7 +40,7 @@
         self.context = context
 
     def render_GET(self, request):
-        """Answer an operator."""
+        """Return the page that an operator asks for."""
         match request.path:
             case b"/metrics":
                 request.setHeader(b"content-type", b"text/plain; version=0.0.4")
--- a/anvilflow/cell/_settings.py
+++ b/anvilflow/cell/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance on the users' platform: JSON with comments, checked."""
+"""Settings of an instance of a cell, read from JSON with comments and checked."""
 
 from pathlib import Path
 
@@ -9,25 +9,26 @@
 from ..exceptions import SettingsError
 from ..jobs import SchedulingPolicy
 
-#: The one way in which workers take orders that is built: each is a call.
-ORDERS_BY_CALL = "invocation"
+#: The only supported way in which workers receive commands: each command is a call to the worker.
+COMMANDS_BY_CALL = "invocation"
 
-#: Processor of an instance whose settings do not tell it: it is neither first nor last to become
-#: the leader. Unit: thousandths of a core.
+#: Processor of an instance whose settings do not give it: among the candidates for the leader, such
+#: an instance comes neither first nor last. Unit: thousandths of a core.
 DEFAULT_CPU_MILLI = 1000
 
 
 class ListenSettings(Struct, kw_only=True):
-    """Addresses that the process serves.
+    """Addresses on which the process listens.
 
     Parameters
     ----------
     front, ready, peers : str
-        For clients, for the balancer's check, for other instances. ``IP:PORT``.
+        Addresses for clients, for the balancer's check and for other instances. ``IP:PORT``.
     peers_public : str, default=""
-        Where other instances reach `peers` when something stands in between; empty: at `peers`.
+        Address at which other instances reach `peers` if it is another one, as behind a proxy;
+        empty: that of `peers`.
     metrics : str, default=""
-        For operators: metrics and a dump of the state; empty: not served.
+        Address for operators, with metrics and a dump of the state; empty: not served.
     """
 
     front: str
@@ -38,12 +39,26 @@
 
     @property
     def peers_address(self):
-        """Where other instances reach this one."""
+        """Address at which other instances reach this one."""
         return self.peers_public or self.peers
 
 
 class Bounds(Struct, kw_only=True):
-    """Limits that the platform sets; `config_apply_s` is the time for a change of configuration."""
+    """Limits set by the platform.
+
+    Parameters
+    ----------
+    grace_s : float, default=6.0
+        Time from SIGTERM to SIGKILL. Unit: seconds.
+    max_lease_s : float, default=6.0
+        Longest lease. Unit: seconds.
+    stop_s : float, default=0.9
+        Longest time that the stop of a run takes. Unit: seconds.
+    status_kept_s : float, default=120.0
+        Time for which the state of an ended job is kept. Unit: seconds.
+    config_apply_s : float, default=2.0
+        Time within which a change of the configuration must be in force. Unit: seconds.
+    """
 
     grace_s: float = 6.0
     max_lease_s: float = 6.0
@@ -53,7 +68,7 @@
 
 
 class CellSettings(Struct, kw_only=True):
-    """Everything that an instance is told at its start.
+    """All settings of an instance.
 
     Parameters
     ----------
@@ -63,16 +78,18 @@
         Addresses of the platform's services; `advice` may be empty.
     bounds : Bounds
     orders : {"invocation"}
-        How workers take orders; only calls to them are built.
+        How workers receive commands; only calls to the workers are supported.
     log_level : str
     link_mbps : float or None, default=None
-        Bandwidth of the instance's own link; None: not known. Unit: Mbit/s.
+        Bandwidth of the instance's own link; None: unknown. Unit: Mbit/s.
     cpu_share, cores : float or None, default=None
-        Processor of the instance: a share of one core, and how many times as fast as a core it is.
-        Where one is missing or not above zero, the instance counts as having a whole core.
+        Processor of the instance: its share of one core, and the speed of that core as a multiple
+        of a standard core. If either is missing or not above zero, the instance counts as having
+        one whole core.
     scheduling : SchedulingPolicy
-        Thresholds and switches of decisions. Unlike elsewhere, an unknown key is refused here: the
-        platform sends none, and a misspelt one would silently leave the default in force.
+        Thresholds and switches of scheduling decisions. Unlike in the other sections, an unknown
+        key is an error here: the platform sends no keys of this section, and a misspelt key would
+        silently leave the default in force.
     """
 
     instance: str
@@ -81,7 +98,7 @@
     store: str
     advice: str = ""
     bounds: Bounds = msgspec.field(default_factory=Bounds)
-    orders: str = ORDERS_BY_CALL
+    orders: str = COMMANDS_BY_CALL
     log_level: str = "info"
     link_mbps: float | None = None
     cpu_share: float | None = None
@@ -96,9 +113,14 @@
 
 
 def load_cell_settings(path):
-    """Read and check a settings file; AF101 with the path of the key that is wrong.
+    """Read and check a settings file.
+
+    Unknown keys are ignored, except in `scheduling`: the platform may send new ones.
 
-    Keys that this version does not know are ignored: the platform may send new ones.
+    Raises
+    ------
+    SettingsError
+        AF101, with the path of the invalid key.
     """
     try:
         values = json5.loads(Path(path).read_text(encoding="utf-8"), allow_duplicate_keys=False)
@@ -110,14 +132,14 @@
         settings = msgspec.convert(values, CellSettings, strict=True)
     except msgspec.ValidationError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
-    if settings.orders != ORDERS_BY_CALL:
+    if settings.orders != COMMANDS_BY_CALL:
         raise SettingsError(
-            f"{path}: $.orders: {settings.orders!r} is not built; allowed: {ORDERS_BY_CALL}"
+            f"{path}: $.orders: {settings.orders!r} is not supported; allowed: {COMMANDS_BY_CALL}"
         )
     for name in ("front", "ready", "peers", "peers_public", "metrics"):
         address = getattr(settings.listen, name)
         host, _, port = address.rpartition(":")
         is_left_out = not address and name in ("peers_public", "metrics")
         if not is_left_out and not (host and port.isdigit()):
-            raise SettingsError(f"{path}: $.listen.{name}: allowed: IP:PORT")
+            raise SettingsError(f"{path}: $.listen.{name}: not an address; allowed: IP:PORT")
     return settings
--- a/anvilflow/cell/tests/test_observer.py
+++ b/anvilflow/cell/tests/test_diagnostics.py
@@ -1,4 +1,4 @@
-"""What operators see of a running instance, and settings that change under it."""
+"""Metrics and dump of a running instance, and reloading of its settings."""
 
 import msgspec
 import pytest
@@ -11,44 +11,44 @@
 
 
 class _Request:
-    """As much of a request as the observer uses."""
+    """The part of a request that the diagnostics page uses."""
 
     def __init__(self, path):
         self.path = path
         self.status = 200
 
     def setHeader(self, name, value):
-        """Take no note."""
+        """Ignore the header."""
 
     def setResponseCode(self, status):
         self.status = status
 
 
 def ask(cell, name, path):
-    """Return an instance's answer to an operator and its status."""
+    """Return the body and the status of an instance's answer to an operator."""
     resource = _diagnostics._DiagnosticsResource(context=cell.daemons[name].context)
     request = _Request(path)
     return resource.render_GET(request), request.status
 
 
-def test_page_counts_what_clients_and_workers_did():
-    """One job of four tasks: its acceptance and first start are timed, its ends counted."""
+def test_metrics_count_calls_of_clients_and_ends_of_tasks():
+    """One job of four tasks: its acceptance and first start are timed, the ends are counted."""
     cell = make_cell()
     name = cell.other()
     cell.submit(name, JOB, STEP)
     cell.advance(3.0)
     cell.state(name, JOB)
-    entry_page, _ = ask(cell, name, b"/metrics")
+    gateway_page, _ = ask(cell, name, b"/metrics")
     leader_page, _ = ask(cell, cell.leader(), b"/metrics")
-    assert b'anvilflow_calls_total{status="200",verb="POST"} 1.0' in entry_page
-    assert b"anvilflow_accept_seconds_count 1.0" in entry_page
+    assert b'anvilflow_calls_total{status="200",verb="POST"} 1.0' in gateway_page
+    assert b"anvilflow_accept_seconds_count 1.0" in gateway_page
     assert b'anvilflow_ends_total{how="done"} 4.0' in leader_page
     assert b"anvilflow_first_start_seconds_count 1.0" in leader_page
     assert b'anvilflow_takeovers_total{why="no home"} 1.0' in leader_page
 
 
-def test_verbs_that_clients_make_up_do_not_grow_the_page():
-    """A client sends a new verb with each call; the page counts them as one."""
+def test_unknown_verbs_do_not_grow_the_metrics():
+    """A client sends another verb with each call; all of them share one label value."""
     cell = make_cell()
     name = cell.other()
     for number in range(20):
@@ -59,7 +59,7 @@
 
 
 def test_dump_shows_the_state_of_the_parts():
-    """An operator looks at the leader while a job runs."""
+    """The dump of the leader lists a running job."""
     cell = make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="5.0 done 1000")
     cell.advance(0.5)
@@ -68,11 +68,11 @@
 
 
 def test_other_paths_are_not_found():
-    """The observer serves nothing of what clients may ask."""
+    """The operators' address serves no paths of clients."""
     assert ask(make_cell(), "a0", f"/urgent/{JOB}".encode())[1] == 404
 
 
-def test_settings_that_are_read_anew_are_in_force():
+def test_reloaded_settings_are_in_force():
     """The store moves to another address; the platform rewrites the file and sends SIGHUP."""
     cell = make_cell()
     daemon = cell.daemons["a0"]
@@ -82,8 +82,8 @@
     assert daemon.context.settings is new
 
 
-def test_policy_that_is_read_anew_is_followed():
-    """An operator sets a threshold and sends SIGHUP: the leader's next plan goes by it."""
+def test_reloaded_scheduling_policy_is_in_force():
+    """An operator sets a threshold and sends SIGHUP: the leader's next plan uses it."""
     cell = make_cell()
     daemon = cell.daemons[cell.leader()]
     policy = SchedulingPolicy(preempt_s=None)
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("fault", ["unreadable", "other address"])
-def test_settings_that_cannot_be_taken_leave_the_old_ones(fault):
-    """A file that is half written, or that moves an open socket: the instance goes on as it is."""
+def test_settings_that_cannot_be_reloaded_leave_the_old_ones_in_force(fault):
+    """The file is half written, or changes the address of an open socket: nothing is changed."""
     cell = make_cell()
     daemon = cell.daemons["a0"]
     old = daemon.context.settings
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -3,7 +3,7 @@
 import pytest
 
 from anvilflow.cell import CellDaemon, _leadership, _recorder
-from anvilflow.cell._daemon import BALANCER_S, END_MARGIN_S
+from anvilflow.cell._daemon import BALANCER_REMOVAL_S, SIGKILL_MARGIN_S
 
 from ._helpers import JOB, make_cell
 
@@ -34,7 +34,7 @@
     cell = make_cell(n_instances=3)
     name = cell.other()
     ends = _drain(cell, name)
-    cell.advance(BALANCER_S + 0.95)
+    cell.advance(BALANCER_REMOVAL_S + 0.95)
     cell.store_faults.slow_s = 0.6
     answers = cell.submit(name, JOB, {"count": 1, "cpu": 1000})
     while not answers:
@@ -56,7 +56,7 @@
         cell.call(name, "GET", f"/urgent/{JOB}")
         cell.advance(0.1)
     assert ends
-    assert ends[0] - began <= GRACE_S - END_MARGIN_S + 0.01
+    assert ends[0] - began <= GRACE_S - SIGKILL_MARGIN_S + 0.01
 
 
 def test_instance_without_calls_ends_as_soon_as_the_balancer_knows():
@@ -65,7 +65,7 @@
     began = cell.clock.seconds()
     ends = _drain(cell, cell.other())
     cell.advance(GRACE_S)
-    assert ends[0] - began < BALANCER_S + 1.0 + 0.25
+    assert ends[0] - began < BALANCER_REMOVAL_S + 1.0 + 0.25
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
--- a/anvilflow/cell/tests/test_settings.py
+++ b/anvilflow/cell/tests/test_settings.py
@@ -1,11 +1,11 @@
-"""Settings of an instance: what is wrong is said with a code and a path."""
+"""Settings of an instance: invalid ones are refused with a code and the path of the key."""
 
 import pytest
 
 from anvilflow.cell import load_cell_settings
 from anvilflow.exceptions import SettingsError
 
-GOOD = """// filled by the platform
+VALID_SETTINGS = """// filled by the platform
 {
   "instance": "a1", "failure_domain": "z1", "store": "10.0.0.9:80", "new-field": 3,
   "listen": {"front": "10.0.0.1:1", "ready": "10.0.0.1:2", "peers": "10.0.0.1:3"},
@@ -14,21 +14,21 @@
 
 
 def write(tmp_path, text):
-    """Return the path of a settings file."""
+    """Write a settings file; return its path."""
     path = tmp_path / "settings.json"
     path.write_text(text, encoding="utf-8")
     return path
 
 
-def test_good_settings_are_read_and_unknown_keys_ignored(tmp_path):
-    """The platform may send new fields; missing ones have their defaults."""
-    settings = load_cell_settings(write(tmp_path, GOOD))
+def test_valid_settings_are_read_and_unknown_keys_ignored(tmp_path):
+    """The platform may send new fields; missing fields have their defaults."""
+    settings = load_cell_settings(write(tmp_path, VALID_SETTINGS))
     assert (settings.instance, settings.bounds.max_lease_s) == ("a1", 6.0)
     assert settings.bounds.status_kept_s == 120.0
 
 
 @pytest.mark.parametrize(
-    ("before", "after", "said"),
+    ("before", "after", "expected"),
     [
         ('"instance": "a1"', '"instance": 7', "$.instance"),
         ('"store": "10.0.0.9:80", ', "", "store"),
@@ -43,23 +43,23 @@
         ('"new-field": 3', '"scheduling": {"max_reserved": -1}', "$.scheduling.max_reserved"),
     ],
 )
-def test_bad_settings_are_refused(tmp_path, before, after, said):
-    """The process ends with AF101 and says which key is wrong."""
+def test_invalid_settings_are_refused(tmp_path, before, after, expected):
+    """The error has the code AF101 and the path of the invalid key."""
     with pytest.raises(SettingsError) as caught:
-        load_cell_settings(write(tmp_path, GOOD.replace(before, after)))
+        load_cell_settings(write(tmp_path, VALID_SETTINGS.replace(before, after)))
     assert caught.value.code == "AF101"
-    assert said in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_missing_file_is_refused(tmp_path):
-    """The path of the file is part of the message."""
+    """The error message contains the path of the file."""
     with pytest.raises(SettingsError, match="nothing-here"):
         load_cell_settings(tmp_path / "nothing-here")
 
 
-def test_policy_is_read_and_defaults_stay(tmp_path):
-    """An operator sets one threshold; null means never."""
-    text = GOOD.replace('"new-field": 3', '"scheduling": {"preempt_s": null}')
+def test_scheduling_policy_is_read_and_defaults_stay(tmp_path):
+    """An operator sets one threshold to null, which disables it; the others keep their defaults."""
+    text = VALID_SETTINGS.replace('"new-field": 3', '"scheduling": {"preempt_s": null}')
     policy = load_cell_settings(write(tmp_path, text)).scheduling
     assert policy.preempt_s is None
     assert policy.reserve_share == 0.1
