--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -48,9 +48,9 @@
         Both are stored in the context as well, for the time after another instance becomes leader.
         """
         waiting = self.leader.waiting()
-        self.context.waiting.told(waiting)
+        self.context.waiting.record_report(waiting)
         waits = self.leader.start_waits()
-        self.context.start_waits.told(waits)
+        self.context.start_waits.record_report(waits)
         heartbeat = self.heartbeat()
         heartbeat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
         heartbeat.waiting = waiting.counts
--- a/anvilflow/cell/_start_delays.py
+++ b/anvilflow/cell/_start_delays.py
@@ -17,7 +17,7 @@
         self._by_priority = {}
         self._updated_at = float("-inf")
 
-    def told(self, by_priority):
+    def record_report(self, by_priority):
         """Record the delays reported by the leader, by queue priority. Unit: seconds."""
         self._by_priority = by_priority
         self._updated_at = self.clock.seconds()
--- a/anvilflow/cell/tests/test_power_loss.py
+++ b/anvilflow/cell/tests/test_power_loss.py
@@ -33,7 +33,7 @@
     memory.
     """
     if not safeguard:
-        monkeypatch.setattr(_gateway, "store_job_surely", _acknowledge_before_storing)
+        monkeypatch.setattr(_gateway, "store_job_with_read_back", _acknowledge_before_storing)
     cell = make_cell()
     _advance_until_answered(cell, cell.submit(cell.other(), JOB, STEP))
     _lose_power(cell, restarted)
@@ -180,7 +180,7 @@
     cell.advance(settle_s)
 
 
-def _acknowledge_before_storing(store, value, *, clock, doubt_s):
+def _acknowledge_before_storing(store, value, *, clock, read_back_after_s):
     clock.callLater(0.01, store_job, store, value)
     return succeed(1)
 
--- a/anvilflow/cell/tests/test_recovery.py
+++ b/anvilflow/cell/tests/test_recovery.py
@@ -94,7 +94,7 @@
     they filled the job's part of the store, and the store refused later writes.
     """
     if not safeguard:
-        monkeypatch.setattr(_gateway, "store_job_surely", _write_repeatedly)
+        monkeypatch.setattr(_gateway, "store_job_with_read_back", _write_repeatedly)
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.store_faults.slow_s = 0.5
@@ -113,10 +113,10 @@
 
 
 @inlineCallbacks
-def _write_repeatedly(store, value, *, clock, doubt_s):
+def _write_repeatedly(store, value, *, clock, read_back_after_s):
     for _ in range(3):
         try:
-            version = yield store_job(store, value, timeout=doubt_s)
+            version = yield store_job(store, value, timeout=read_back_after_s)
         except PlatformUnavailableError:
             continue
         return version
