--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -1,207 +1,228 @@
-"""For which steps to ask advice, and about which workers."""
+"""Advice requests: for which steps the advice service is asked, and about which workers."""
 
 from ._actions import RequestAdvice
 from ._job import TaskState
 from ._stalled_runs import is_slow
 
-#: Time that a ticket must still be valid when a start is sent. A start reaches a worker within a
-#: few milliseconds; a busy instance adds some tens. Unit: seconds.
+#: Time for which a ticket must still be valid when a start is sent. A start reaches a worker within
+#: a few milliseconds; a busy instance adds some tens of milliseconds. Unit: seconds.
 TICKET_MARGIN_S = 0.15
 
-#: Largest number of workers that one ask may name.
-MAX_ASKED = 100
+#: Maximum number of workers that one request may name.
+MAX_WORKERS_PER_REQUEST = 100
 
-#: Time after which an ask without an answer is made again, beyond its own length. Unit: seconds.
-ASK_TIMEOUT_S = 2.0
+#: Time beyond its expected duration after which a request without an answer is made again. Unit:
+#: seconds.
+REQUEST_TIMEOUT_S = 2.0
 
-#: Asks under way at once for each instance that carries them: the service takes one call of an
-#: instance at a time, and the second waits ready behind the first.
-ASKS_PER_ADVISER = 2
+#: Maximum number of short requests in flight for each instance that makes them. The advice service
+#: processes one call of an instance at a time, and the second is queued behind the first.
+MAX_REQUESTS_PER_INSTANCE = 2
 
-#: An ask that takes longer than this keeps others waiting noticeably. Those for quick work take
-#: 0.05 s, those for heavy work 0.8 s. Unit: seconds.
-LONG_ASK_S = 0.25
+#: Expected duration from which a request counts as long, since it delays others noticeably.
+#: Requests for quick tasks take 0.05 s, those for heavy tasks 0.8 s. Unit: seconds.
+LONG_REQUEST_S = 0.25
 
-#: Places on one worker that count towards what a step needs. More would put a step on a few empty
-#: workers, which other steps are told of at the same moment.
-PLACES_PER_WORKER = 2
+#: Maximum number of places on one worker that count towards the places that a step needs. A higher
+#: limit would direct a step to a few empty workers, which the requests of other steps name at the
+#: same time.
+MAX_PLACES_PER_WORKER = 2
 
+#: Share of the workers in a request that is expected to be allowed before the first answer.
+INITIAL_SHARE = 0.5
 
-#: Share of the workers asked about that is taken to be allowed until answers tell.
-FIRST_SHARE = 0.5
+#: Lower bound of the expected share: a series of refusals must not cause requests about all workers
+#: from then on.
+MIN_SHARE = 0.1
 
-#: Least share that is reckoned with: a run of refusals must not ask about all workers for ever.
-LEAST_SHARE = 0.1
-
-#: Weight that older answers keep at each new one: a changed rule is learnt within some ten answers.
-KEPT_WEIGHT = 0.9
+#: Weight that the earlier answers keep at each new one: the expected share follows a changed rule
+#: within some ten answers.
+EARLIER_ANSWERS_WEIGHT = 0.9
 
 
 class AllowedShares:
-    """The share of the workers asked about that advice allows, learnt for each queue."""
+    """Estimates, for each queue, the share of the workers in a request that advice allows."""
 
     def __init__(self):
         self._counts = {}
 
     def note(self, queue, n_asked, n_allowed):
-        """Count an answer about workers of which nothing was known."""
+        """Count an answer about workers for which the step had no earlier answer."""
         if n_asked <= 0:
             return
         asked, allowed = self._counts.get(queue, (0.0, 0.0))
-        self._counts[queue] = (asked * KEPT_WEIGHT + n_asked, allowed * KEPT_WEIGHT + n_allowed)
+        self._counts[queue] = (
+            asked * EARLIER_ANSWERS_WEIGHT + n_asked,
+            allowed * EARLIER_ANSWERS_WEIGHT + n_allowed,
+        )
 
     def of(self, queue):
-        """Return the share that is to be expected."""
+        """Return the expected share for a queue."""
         asked, allowed = self._counts.get(queue, (0.0, 0.0))
-        return max(LEAST_SHARE, allowed / asked) if asked else FIRST_SHARE
+        return max(MIN_SHARE, allowed / asked) if asked else INITIAL_SHARE
 
 
 def has_ticket(step, worker_id, now):
-    """Whether a step may start on a worker now."""
+    """Whether the advice service allows a step to start on a worker now."""
     ticket = step.tickets.get(worker_id)
     return ticket is not None and ticket[1] - now > TICKET_MARGIN_S
 
 
-def drop_old_asks(scheduler, now):
-    """Forget asks whose answer does not come any more."""
-    for key, (sent_at, length) in list(scheduler.asking.items()):
-        if now - sent_at > length + ASK_TIMEOUT_S:
-            del scheduler.asking[key]
+def drop_timed_out_requests(scheduler, now):
+    """Drop the requests in flight whose answers are overdue, so that they can be made again."""
+    for key, (sent_at, duration_s) in list(scheduler.advice_in_flight.items()):
+        if now - sent_at > duration_s + REQUEST_TIMEOUT_S:
+            del scheduler.advice_in_flight[key]
 
 
-def ask(scheduler, step, now):
-    """Ask which workers may run a step, unless an answer in force leaves nothing to ask.
+def request_step_advice(scheduler, step, now):
+    """Return a request about the workers that may run a step; [] if there is none to ask about.
 
-    An ask that has to wait for an instance is noted in ``scheduler.held_asks``.
+    Also returns [] while a request for the step is in flight, and while no instance is free to make
+    one. In the latter case, the step is added to ``scheduler.deferred_advice_steps``.
     """
     rules = step.job.queue.advice
-    if rules is None or step.key in scheduler.asking:
+    if rules is None or step.key in scheduler.advice_in_flight:
         return []
-    if not _may_ask(scheduler, rules.base_s):
-        scheduler.held_asks[step.key] = step
+    if not _can_send(scheduler, rules.base_s):
+        scheduler.deferred_advice_steps[step.key] = step
         return []
-    scheduler.held_asks.pop(step.key, None)
-    names = _choose_asked(scheduler, step, now, rules.base_s)
-    if not names:
+    scheduler.deferred_advice_steps.pop(step.key, None)
+    worker_ids = _choose_workers(scheduler, step, now, rules.base_s)
+    if not worker_ids:
         return []
-    length = rules.base_s + rules.per_worker_s * len(names)
-    scheduler.asking[step.key] = (now, length)
-    return [RequestAdvice(step=step.key, workers=names, length_s=length)]
+    duration_s = rules.base_s + rules.per_worker_s * len(worker_ids)
+    scheduler.advice_in_flight[step.key] = (now, duration_s)
+    return [RequestAdvice(step=step.key, workers=worker_ids, length_s=duration_s)]
 
 
-def ask_held(scheduler, now):
-    """Make the asks that waited for an instance, the most urgent first."""
-    held = sorted(scheduler.held_asks.values(), key=lambda step: step.job.urgency(now))
+def request_deferred_advice(scheduler, now):
+    """Return the requests for deferred steps that can be made now, the most urgent first."""
+    deferred = sorted(
+        scheduler.deferred_advice_steps.values(), key=lambda step: step.job.urgency(now)
+    )
     actions = []
-    for step in held:
+    for step in deferred:
         if step.job.is_ended or step.job.job_id not in scheduler.jobs or not step.waiting():
-            scheduler.held_asks.pop(step.key, None)
+            scheduler.deferred_advice_steps.pop(step.key, None)
             continue
-        actions += ask(scheduler, step, now)
+        actions += request_step_advice(scheduler, step, now)
     return actions
 
 
-def _may_ask(scheduler, length):
-    """Whether an instance is free for an ask of this length."""
-    is_long = length > LONG_ASK_S
-    n_same = sum((other > LONG_ASK_S) == is_long for _, other in scheduler.asking.values())
+def _can_send(scheduler, duration_s):
+    """Whether an instance is free to make a request of this duration."""
+    is_long = duration_s > LONG_REQUEST_S
+    n_same = sum(
+        (other > LONG_REQUEST_S) == is_long for _, other in scheduler.advice_in_flight.values()
+    )
     if is_long:
         return n_same < max(1, int(scheduler.policy.long_ask_share * scheduler.n_advice_callers))
-    return n_same < ASKS_PER_ADVISER * scheduler.n_advice_callers
+    return n_same < MAX_REQUESTS_PER_INSTANCE * scheduler.n_advice_callers
 
 
-# Which workers
+# Choice of workers
 
 
-def _choose_asked(scheduler, step, now, length):
-    """Return the workers to ask about: as many as the tasks without a place need.
+def _choose_workers(scheduler, step, now, duration_s):
+    """Return the ids of the workers to ask about: as many as the tasks without a place need.
 
-    Those with room come first, beginning where the last ask ended. In the order in which workers
-    were found, all steps of a cell of 270 workers asked about the same 100, which were full, and
-    then once more.
+    Workers with free capacity come first, beginning after the last worker of the previous request.
+    In a cell of 270 workers that were named in a fixed order, all steps asked about the same 100
+    workers, which were full, and then had to make a second request.
     """
     by_need = scheduler.policy.asks_by_need and not step.spec.rack_sensitive
-    workers = _in_turn(scheduler) if by_need else scheduler.workers.values()
-    workers = [worker for worker in workers if _worth_asking(step, worker, now, length)]
+    workers = _workers_in_rotation(scheduler) if by_need else scheduler.workers.values()
+    workers = [worker for worker in workers if _is_worth_asking(step, worker, now, duration_s)]
     if not by_need:
-        return _names(workers[:MAX_ASKED])
-    needed = _n_needed(scheduler, step)
-    n_places = _counter(scheduler, step)
+        return _worker_ids(workers[:MAX_WORKERS_PER_REQUEST])
+    needed = _n_places_needed(scheduler, step)
+    n_places = _make_place_counter(scheduler, step)
     rack = step.spec.data_rack
-    with_room, others = [], []
+    with_capacity, others = [], []
     for worker in workers:
-        is_sound = worker.accepts(now) and not worker.n_consecutive_failures
-        is_sound = is_sound and not is_slow(worker, scheduler.policy)
-        has_room = is_sound and n_places(worker) > 0
-        (with_room if has_room else others).append(worker)
+        is_healthy = worker.accepts(now) and not worker.n_consecutive_failures
+        is_healthy = is_healthy and not is_slow(worker, scheduler.policy)
+        has_capacity = is_healthy and n_places(worker) > 0
+        (with_capacity if has_capacity else others).append(worker)
     if rack:
-        with_room.sort(key=lambda worker: worker.info.rack != rack)
-    chosen, expected = _take(with_room, step, needed, n_places, scheduler)
+        with_capacity.sort(key=lambda worker: worker.info.rack != rack)
+    chosen, expected = _take(with_capacity, step, needed, n_places, scheduler)
     n_known = sum(has_ticket(step, worker_id, now) for worker_id in step.tickets)
     if expected < needed and n_known < needed:
-        # Where room will come is told by nothing yet: the tickets let the step wait for it.
+        # It is not known yet which of the other workers will have free capacity first. With
+        # tickets for them, the step can start as soon as one has.
         others.sort(key=lambda worker: -worker.cpu_free)
         more, _ = _take(others, step, needed - n_known, lambda _: 1, scheduler)
         chosen += more
-    chosen = chosen[:MAX_ASKED]
+    chosen = chosen[:MAX_WORKERS_PER_REQUEST]
     if chosen:
-        scheduler.asked_last = chosen[-1].info.worker_id
-    return _names(chosen)
+        scheduler.last_worker_in_request = chosen[-1].info.worker_id
+    return _worker_ids(chosen)
 
 
-def _names(workers):
+def _worker_ids(workers):
     return [worker.info.worker_id for worker in workers]
 
 
-def _in_turn(scheduler):
-    """Return all workers, beginning after the one that was asked about last."""
+def _workers_in_rotation(scheduler):
+    """Return all workers, beginning after the last worker of the previous request."""
     workers = list(scheduler.workers.values())
-    last = scheduler.asked_last
+    last = scheduler.last_worker_in_request
     if last not in scheduler.workers:
         return workers
     start = 1 + next(i for i, worker in enumerate(workers) if worker.info.worker_id == last)
     return workers[start:] + workers[:start]
 
 
-def _n_needed(scheduler, step):
+def _n_places_needed(scheduler, step):
+    """Return the number of task places that a request for the step should find."""
     n_missing = len(step.waiting()) if step.ready_at is not None else len(step.tasks)
     return scheduler.policy.ask_times * max(1, n_missing) + scheduler.policy.ask_more
 
 
-def _counter(scheduler, step):
-    """Return a function that gives the places that a worker has for a step, of those that count."""
+def _make_place_counter(scheduler, step):
+    """Return a function that counts a worker's free places for tasks of a step, up to a limit.
+
+    The limit is :data:`MAX_PLACES_PER_WORKER`, or the step's own limit if that is lower.
+    """
     spec = step.spec
-    most = min(PLACES_PER_WORKER, spec.max_per_worker or PLACES_PER_WORKER)
-    keep = scheduler.reserve_share(step)
+    limit = min(MAX_PLACES_PER_WORKER, spec.max_per_worker or MAX_PLACES_PER_WORKER)
+    reserve = scheduler.reserve_share(step)
 
     def n_places(worker):
         if not worker.fits(spec):
             return 0
-        free = worker.cpu_free - keep * worker.info.cpu_milli
+        free = worker.cpu_free - reserve * worker.info.cpu_milli
         if spec.fills or not spec.cpu_milli:
-            return most
+            return limit
         if free < spec.cpu_milli:
             return 0 if worker.runs else 1
-        return min(most, int(free // spec.cpu_milli))
+        return min(limit, int(free // spec.cpu_milli))
 
     return n_places
 
 
 def _take(workers, step, needed, n_places, scheduler):
-    """Return workers whose places, as far as advice will allow them, are as many as needed."""
+    """Return the first workers that together are expected to offer the places needed.
+
+    Also returns the number of places expected: a worker's places are weighted by the probability
+    that the advice service allows the worker.
+    """
     share = scheduler.allowed_shares.of(step.job.queue.name)
     chosen, expected = [], 0.0
     for worker in workers:
         if expected >= needed:
             break
-        # What advice has allowed once it allows again: only the ticket is over.
+        # A worker that was allowed before will be allowed again: only its ticket has expired.
         known = worker.info.worker_id in step.tickets
         expected += (1.0 if known else share) * n_places(worker)
         chosen.append(worker)
     return chosen, expected
 
 
-def _worth_asking(step, worker, now, length):
+def _is_worth_asking(step, worker, now, duration_s):
+    """Whether a worker may run the step and has no ticket that outlasts a request."""
     info = worker.info
     if info.service != step.job.queue.service or info.worker_id in step.refused:
         return False
@@ -210,38 +231,41 @@
     if step.spec.label and step.spec.label not in info.labels:
         return False
     ticket = step.tickets.get(info.worker_id)
-    return ticket is None or ticket[1] - now < length + TICKET_MARGIN_S
+    return ticket is None or ticket[1] - now < duration_s + TICKET_MARGIN_S
+
 
+# Early requests
 
-# Asking ahead
 
+def request_step_advice_early(scheduler, step, now):
+    """Return a request for a step whose preceding steps still run, or [] while it is too early.
 
-def ask_ahead(scheduler, step, now):
-    """Ask while the steps before still run, as late as the answer then is there in time."""
+    The request is made as late as the answer can still arrive before the preceding steps end.
+    """
     rules = step.job.queue.advice
     if rules is None or step.tickets or not scheduler.policy.asks_ahead:
         return []
-    before = [step.job.steps[step.occurrence, number] for number in step.spec.after]
-    left = max((_time_left(earlier, now) for earlier in before), default=0.0)
-    n_workers = min(MAX_ASKED, len(scheduler.workers))
+    preceding = [step.job.steps[step.occurrence, number] for number in step.spec.after]
+    remaining_s = max((_remaining_time(earlier, now) for earlier in preceding), default=0.0)
+    n_workers = min(MAX_WORKERS_PER_REQUEST, len(scheduler.workers))
     if scheduler.policy.asks_by_need:
-        n_workers = min(n_workers, int(_n_needed(scheduler, step)))
-    if left > rules.base_s + rules.per_worker_s * n_workers + scheduler.policy.ask_ahead_s:
+        n_workers = min(n_workers, int(_n_places_needed(scheduler, step)))
+    if remaining_s > rules.base_s + rules.per_worker_s * n_workers + scheduler.policy.ask_ahead_s:
         return []
-    return ask(scheduler, step, now)
+    return request_step_advice(scheduler, step, now)
 
 
-def _time_left(step, now):
+def _remaining_time(step, now):
     """Return the estimated time until all tasks of a step are done. Unit: seconds."""
     if step.is_done:
         return 0.0
-    left = 0.0
+    remaining_s = 0.0
     for task in step.tasks:
         match task.state:
             case TaskState.DONE:
                 continue
             case TaskState.RUNNING if task.started_at is not None:
-                left = max(left, step.spec.estimate_s - (now - task.started_at))
+                remaining_s = max(remaining_s, step.spec.estimate_s - (now - task.started_at))
             case _:
-                left = max(left, step.spec.estimate_s)
-    return left
+                remaining_s = max(remaining_s, step.spec.estimate_s)
+    return remaining_s
--- a/anvilflow/jobs/_evacuation.py
+++ b/anvilflow/jobs/_evacuation.py
@@ -1,41 +1,49 @@
-"""Which runs are taken off a worker before it leaves."""
+"""Choice of the runs that are stopped on a leaving worker, to be started again elsewhere."""
 
-#: Time before a worker's end at which long-running tasks are moved: a stop takes up to 0.9 s, and
-#: a start elsewhere may first need advice of 0.8 s. Left to the worker's end, they would be missed
-#: for 4 s: the worker has to fall silent and its leases to end. Unit: seconds.
+#: Time before a worker leaves at which its long-running tasks are moved. A stop takes up to 0.9 s,
+#: and a start elsewhere may first need an advice request of 0.8 s. Tasks that stay until the worker
+#: leaves have no run for 4 s: the worker must first become unreachable and its leases expire. Unit:
+#: seconds.
 MOVE_S = 2.0
 
-#: Margin by which a run must end before its worker does to be left alone. Unit: seconds.
+#: Margin by which a run must be expected to end before its worker leaves, to be left running. Unit:
+#: seconds.
 END_MARGIN_S = 0.3
 
 
 def find_leaving_runs(scheduler, now):
-    """Return the runs that cannot end before their worker does."""
+    """Return the runs to be moved now because their workers leave."""
     leaving = []
     for worker in scheduler.workers.values():
         if worker.leaves_at is None or worker.unreachable:
             continue
-        left = worker.leaves_at - now
+        remaining_s = worker.leaves_at - now
         leaving += [
             run
             for run in worker.runs.values()
-            if run.state == "running" and _is_cut_off(run, left, now)
+            if run.state == "running" and _should_be_moved(run, remaining_s, now)
         ]
     return leaving
 
 
-def _is_cut_off(run, left, now):
-    """Whether a run should be stopped now for a start elsewhere."""
+def _should_be_moved(run, remaining_s, now):
+    """Whether a run should be stopped now, as its worker leaves in `remaining_s` seconds.
+
+    Members of a gang and runs without an estimated duration are not moved.
+    """
     step = run.step
     if step.long_running:
-        return left < MOVE_S
+        return remaining_s < MOVE_S
     if step.gang or step.estimate_s <= 0:
         return False
-    return _time_to_end(run, now) > left - END_MARGIN_S
+    return _time_to_end(run, now) > remaining_s - END_MARGIN_S
 
 
 def _time_to_end(run, now):
-    """Return how long a run still takes, by its progress or else by its estimate."""
+    """Return the run's remaining time, by its progress from 5 percent on, before by its estimate.
+
+    Unit: seconds.
+    """
     elapsed = now - run.began_at
     if run.percent >= 5:
         return elapsed * (100 - run.percent) / run.percent
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -1,7 +1,13 @@
 """Placement of waiting tasks on workers, in the order of urgency."""
 
 from ._actions import NoteWait, StartRun
-from ._advice import ask, ask_ahead, ask_held, drop_old_asks, has_ticket
+from ._advice import (
+    drop_timed_out_requests,
+    has_ticket,
+    request_deferred_advice,
+    request_step_advice,
+    request_step_advice_early,
+)
 from ._job import TaskState
 from ._ranking import Ranking
 from ._reservations import Reservations
@@ -26,10 +32,10 @@
     it can be sent occupies capacity that others could use, and can no longer go to a worker that
     becomes free meanwhile.
     """
-    drop_old_asks(scheduler, now)
+    drop_timed_out_requests(scheduler, now)
     if n_wanted is not None and n_wanted <= 0:
         scheduler.note_starts_deferred(now)
-        return ask_held(scheduler, now)
+        return request_deferred_advice(scheduler, now)
     is_full_plan = (
         scheduler.needs_full_plan or now >= scheduler.last_full_plan_at + FULL_PLAN_INTERVAL_S
     )
@@ -56,7 +62,7 @@
         actions += planned
     else:
         scheduler.starts_deferred_since = None
-    return actions + ask_held(scheduler, now)
+    return actions + request_deferred_advice(scheduler, now)
 
 
 def _waiting_jobs(scheduler, include_all):
@@ -75,14 +81,14 @@
         if step.is_done:
             continue
         if step.ready_at is None:
-            actions += ask_ahead(scheduler, step, now)
+            actions += request_step_advice_early(scheduler, step, now)
             continue
         waiting = scheduler.startable(step, step.waiting(), now) + _tasks_to_copy(step)
         if not waiting:
             continue
         if not scheduler.may_start(job, now):
             # Requested now, so that the answer is there by the time all workers have responded.
-            actions += ask(scheduler, step, now)
+            actions += request_step_advice(scheduler, step, now)
             continue
         scheduler.reservations.release(step)
         if step.spec.gang:
@@ -149,7 +155,7 @@
     actions = _place(scheduler, step, waiting, workers, now)
     n_left = len(waiting) - len(actions)
     if n_left:
-        actions += ask(scheduler, step, now)
+        actions += request_step_advice(scheduler, step, now)
         actions += _note_wait(step, n_left, workers, now)
         if not step.spec.fills:
             actions += scheduler.reservations.reserve(
@@ -168,7 +174,7 @@
         worker = ranking.choose(task)
         if worker is None:
             break
-        scheduler.reservations.placed(worker, step.spec)
+        scheduler.reservations.note_placed(worker, step.spec)
         actions.append(_start(scheduler, worker, step, task, now))
         ranking.update(worker)
     return actions
@@ -217,7 +223,7 @@
                 _start(scheduler, worker, step, task, now, recorded=recorded)
                 for task, worker in zip(waiting, chosen, strict=True)
             ]
-    return ask(scheduler, step, now)
+    return request_step_advice(scheduler, step, now)
 
 
 def _racks(workers):
--- a/anvilflow/jobs/_reservations.py
+++ b/anvilflow/jobs/_reservations.py
@@ -50,7 +50,7 @@
         for worker_id in [key for key, kept in self._kept.items() if kept.step is step]:
             del self._kept[worker_id]
 
-    def placed(self, worker, step):
+    def note_placed(self, worker, step):
         """Note that a task was placed on a worker: what it takes is not to spare any more."""
         kept = self._kept.get(worker.info.worker_id)
         if kept is not None:
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -275,7 +275,7 @@
         step.n_done = sum(each.state is TaskState.DONE for each in step.tasks)
         job.touch(now)
         if step.is_done:
-            self.asking.pop(step.key, None)
+            self.advice_in_flight.pop(step.key, None)
             job.mark_ready(now)
         if job.is_done:
             actions += self._finish(job, JobState.COMPLETED, now)
@@ -382,7 +382,7 @@
 
     def advice_received(self, step_key, asked, tickets, valid_until, now):
         """Process the reply to an advice request; `tickets`, by worker, is None without a reply."""
-        self.asking.pop(step_key, None)
+        self.advice_in_flight.pop(step_key, None)
         job = self.jobs.get(step_key.split(".", 1)[0])
         if job is None:
             return
--- a/anvilflow/jobs/_scheduler.py
+++ b/anvilflow/jobs/_scheduler.py
@@ -11,7 +11,7 @@
 from ._policy import SchedulingPolicy
 from ._reservations import Reservations
 from ._run_tracker import RunTracker
-from ._stalled_runs import GIVEN_UP_SLOWNESS, find_stalled_runs, has_copy
+from ._stalled_runs import SLOW_RUN_SLOWNESS, find_stalled_runs, has_copy
 
 #: Minimum time between two checks of all jobs and runs for what becomes due by time alone:
 #: occurrences, lapsed leases, leaving workers, stalled and slow runs. A plan is made after each
@@ -134,7 +134,7 @@
     def _stop_all(self, job, now, why):
         actions = []
         for step in job.steps.values():
-            self.asking.pop(step.key, None)
+            self.advice_in_flight.pop(step.key, None)
             for task in step.tasks:
                 for run in list(task.runs.values()):
                     actions += self._stop(run, now, why)
@@ -266,7 +266,7 @@
             if why == "stands still":
                 self._note_worker_failure(run.worker, now)
             else:
-                run.worker.slowness = max(run.worker.slowness, GIVEN_UP_SLOWNESS)
+                run.worker.slowness = max(run.worker.slowness, SLOW_RUN_SLOWNESS)
             if self.policy.copies and step.spec.speculative and not has_copy(task):
                 step.copies.append(task)
                 step.job.wake()
--- a/anvilflow/jobs/_stalled_runs.py
+++ b/anvilflow/jobs/_stalled_runs.py
@@ -31,7 +31,7 @@
 
 #: Slowness of a worker on which a run was given up for slowness. It ends well nowhere else, so that
 #: the worker would go on getting tasks; a few that end well there make up for it.
-GIVEN_UP_SLOWNESS = 4.0
+SLOW_RUN_SLOWNESS = 4.0
 
 #: Estimates are off by a half, either way. An estimated length counts this many times over.
 ESTIMATE_TIMES = 2.0
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -27,9 +27,9 @@
     -----
     `freed` are the workers whose free capacity has grown since the last plan. `needs_full_plan`
     means that a change may affect any step, `last_full_plan_at` is the time of the last plan of all
-    steps. `asking` holds the advice requests in flight, by step, `held_asks` the steps that wait to
-    request advice, `asked_last` the worker after which the next request begins. `nameless` are the
-    registry entries that name no worker.
+    steps. `advice_in_flight` holds the advice requests in flight, by step, `deferred_advice_steps`
+    the steps that wait to request advice, `last_worker_in_request` the worker after which the next
+    request begins. `nameless` are the registry entries that name no worker.
     """
 
     def __init__(self, *, term, lease_s, stop_s, now, grace_period=None):
@@ -39,9 +39,9 @@
         self.jobs = {}
         self.ended = {}
         self.workers = {}
-        self.asking = {}
-        self.held_asks = {}
-        self.asked_last = None
+        self.advice_in_flight = {}
+        self.deferred_advice_steps = {}
+        self.last_worker_in_request = None
         self.allowed_shares = AllowedShares()
         self.freed = set()
         self.needs_full_plan = True
--- a/anvilflow/jobs/tests/test_advice.py
+++ b/anvilflow/jobs/tests/test_advice.py
@@ -13,7 +13,7 @@
     StartRun,
     StepSpec,
 )
-from anvilflow.jobs._advice import FIRST_SHARE, LEAST_SHARE, AllowedShares
+from anvilflow.jobs._advice import INITIAL_SHARE, MIN_SHARE, AllowedShares
 
 from .test_scheduler import make_report, make_worker_info
 
@@ -112,13 +112,13 @@
 def test_share_that_is_allowed_is_learnt_forgotten_and_bounded():
     """A queue's rule changes; the share follows within some ten answers, and is never nothing."""
     shares = AllowedShares()
-    assert shares.of("q") == FIRST_SHARE
+    assert shares.of("q") == INITIAL_SHARE
     shares.note("q", 0, 0)
-    assert shares.of("q") == FIRST_SHARE
+    assert shares.of("q") == INITIAL_SHARE
     for _ in range(20):
         shares.note("q", 30, 0)
-    assert shares.of("q") == LEAST_SHARE
+    assert shares.of("q") == MIN_SHARE
     for _ in range(12):
         shares.note("q", 30, 30)
     assert shares.of("q") > 0.65
-    assert shares.of("another") == FIRST_SHARE
+    assert shares.of("another") == INITIAL_SHARE
