--- a/anvilflow/jobs/_reservations.py
+++ b/anvilflow/jobs/_reservations.py
@@ -1,21 +1,24 @@
-"""Room for urgent tasks that fit nowhere now: workers kept free for them, runs stopped for them."""
+"""Reservation of workers, and preemption of runs, for urgent tasks that fit on no worker now."""
 
-#: Time that a run is taken to need at the least: estimates are off by a half. Unit: seconds.
-LEAST_LEFT_S = 0.1
+#: Lower bound of the estimated remaining time of a run, as estimates are off by a half. Unit:
+#: seconds.
+MIN_REMAINING_S = 0.1
 
-#: Times its length that a task must have until a worker is needed that is kept for another:
-#: estimates are off by a half, and a task's own progress is soon seen.
-BACKFILL_TIMES = 1.5
+#: Factor by which the time until a reserved worker is needed must exceed the duration of a less
+#: urgent task that is started there. Estimates are off by a half, and the progress of a step's
+#: running tasks soon corrects them.
+BACKFILL_FACTOR = 1.5
 
 _NEVER = float("inf")
 
 
 class Reservations:
-    """Workers that are kept free, from one whole plan to the next, for the queues that come first.
+    """Workers that are reserved for steps of more urgent queues, until the next full plan.
 
-    Without them a task of several cores waits for as long as smaller ones of less urgent queues
-    come: each takes the core that has just become free. Tasks that last were missed for 6 s so, in
-    bursts of large jobs, and some for the rest of the day.
+    Without reservations, a task of several cores waits for as long as smaller tasks of less urgent
+    queues keep coming, since each of these takes the core that has just become free. In scenarios
+    with bursts of large jobs, long-running tasks then had no run for 6 s, and some had none until
+    the end of the scenario.
 
     Parameters
     ----------
@@ -24,75 +27,93 @@
 
     def __init__(self, policy):
         self._policy = policy
-        self._kept = {}
+        self._by_worker = {}
 
     def is_reserved_from(self, worker, queue):
-        """Whether a worker is kept for a more urgent queue."""
-        kept = self._kept.get(worker.info.worker_id)
-        return kept is not None and kept.priority < queue.priority
+        """Whether a worker is reserved for a more urgent queue than `queue`."""
+        reservation = self._by_worker.get(worker.info.worker_id)
+        return reservation is not None and reservation.priority < queue.priority
 
     def allows(self, worker, step):
-        """Whether a task may start on a worker as far as it is kept for a more urgent queue.
+        """Whether the reservation of a worker, if any, permits a task of `step` to start there.
 
-        It may where the room it is kept for stays, or is not there before the task has ended. Kept
-        from all else, accelerators stood idle: callers of small jobs got 0.897 of their worth, and
-        get 0.960 with it, on a played load of large and small jobs at 1.3 times the usual.
+        A less urgent task may start if it leaves the reserved capacity free, or if it will have
+        ended before that capacity becomes available. When reserved workers took no less urgent
+        tasks at all, accelerators were idle: in a test load of large and small jobs, at 1.3 times
+        the usual rate, callers of small jobs received 0.897 of the value of their jobs, and 0.960
+        with this rule.
         """
         if not self.is_reserved_from(worker, step.job.queue):
             return True
-        kept = self._kept[worker.info.worker_id]
+        reservation = self._by_worker[worker.info.worker_id]
         if not self._policy.backfills:
             return False
-        return kept.spare.fits(step.spec) or _length(step) * BACKFILL_TIMES <= kept.wait_s
+        return (
+            reservation.spare.fits(step.spec)
+            or _task_duration(step) * BACKFILL_FACTOR <= reservation.wait_s
+        )
 
     def release(self, step):
-        """Keep no worker for a step any more: it is about to be planned anew."""
-        for worker_id in [key for key, kept in self._kept.items() if kept.step is step]:
-            del self._kept[worker_id]
+        """Release the workers reserved for a step, which is about to be planned again."""
+        for worker_id in [
+            key for key, reservation in self._by_worker.items() if reservation.step is step
+        ]:
+            del self._by_worker[worker_id]
 
     def note_placed(self, worker, step):
-        """Note that a task was placed on a worker: what it takes is not to spare any more."""
-        kept = self._kept.get(worker.info.worker_id)
-        if kept is not None:
-            kept.spare.take(step)
+        """Subtract a task that was placed on a reserved worker from the worker's spare capacity."""
+        reservation = self._by_worker.get(worker.info.worker_id)
+        if reservation is not None:
+            reservation.spare.take(step)
 
     def reserve(self, scheduler, step, workers, reserve, n_missing, now):
-        """Keep the workers that have room soonest; return the stops that make it sooner.
+        """Reserve the workers on which tasks of a step fit soonest; return the stops of runs.
+
+        Runs are stopped where a task would otherwise wait longer than the policy's `preempt_s`.
 
         Parameters
         ----------
+        step : StepRun
         workers : list of Worker
-            Those that may run the step.
+            Workers that may run the step.
         reserve : float
-            Share of a worker that stays free for still more urgent tasks.
+            Share of a worker's processor that stays free for still more urgent tasks.
         n_missing : int
-            Tasks of the step without a place.
+            Number of tasks of the step that are not placed.
         """
         spec = step.spec
-        ways = _find_ways(step, [each for each in workers if not self._is_kept(each)], reserve, now)
+        options = _find_options(
+            step, [each for each in workers if not self._is_reserved(each)], reserve, now
+        )
         actions = []
-        for way in ways[: min(self._policy.max_reserved, n_missing)]:
-            stops = way.victims if self._preempts(way.wait_s) else ()
-            spare = _Room(way.worker, reserve)
-            for run in stops or way.ending:
-                spare.give_back(run.step)
+        for option in options[: min(self._policy.max_reserved, n_missing)]:
+            stops = option.victims if self._should_preempt(option.wait_s) else ()
+            spare = _FreeCapacity(option.worker, reserve)
+            for run in stops or option.ending:
+                spare.add(run.step)
             spare.take(spec)
-            wait_s = scheduler.stop_s if stops else way.wait_s
-            self._kept[way.worker.info.worker_id] = _Kept(step=step, spare=spare, wait_s=wait_s)
+            wait_s = scheduler.stop_s if stops else option.wait_s
+            self._by_worker[option.worker.info.worker_id] = _Reservation(
+                step=step, spare=spare, wait_s=wait_s
+            )
             for run in stops:
                 actions += scheduler.preempt(run, now)
         return actions
 
-    def _is_kept(self, worker):
-        return worker.info.worker_id in self._kept
+    def _is_reserved(self, worker):
+        return worker.info.worker_id in self._by_worker
 
-    def _preempts(self, wait_s):
+    def _should_preempt(self, wait_s):
         preempt_s = self._policy.preempt_s
         return preempt_s is not None and wait_s > preempt_s
 
 
-class _Kept:
-    """A worker that is kept free: for which step, what it has to spare, and from when on."""
+class _Reservation:
+    """Reservation of one worker for a step.
+
+    `spare` is the capacity beyond the reserved one, `wait_s` the time from the reservation until
+    the reserved capacity becomes available. Unit: seconds.
+    """
 
     __slots__ = ("spare", "step", "wait_s")
 
@@ -103,12 +124,16 @@
 
     @property
     def priority(self):
-        """Priority of the queue that it is kept for."""
+        """Priority of the queue for which the worker is reserved."""
         return self.step.job.queue.priority
 
 
-class _Way:
-    """How a task gets room on a worker: when, which runs end by then, which could be stopped."""
+class _Option:
+    """How a worker gains free capacity for a task.
+
+    Either by waiting for `wait_s` seconds, until the runs in `ending` have ended, or by stopping
+    the runs in `victims`.
+    """
 
     __slots__ = ("ending", "victims", "wait_s", "worker")
 
@@ -119,66 +144,73 @@
         self.victims = victims
 
 
-def _find_ways(step, workers, reserve, now):
-    """Return how a task of `step` gets room on each of some workers, the soonest first."""
+def _find_options(step, workers, reserve, now):
+    """Return the options of the given workers for a task of `step`, sorted by waiting time.
+
+    Options of equal waiting time are sorted by the number of runs that could be stopped.
+    """
     spec = step.spec
-    ways = []
+    options = []
     for worker in workers:
         if not worker.could_fit(spec):
             continue
         if spec.max_per_worker and step.n_tasks_on(worker.info.worker_id) >= spec.max_per_worker:
             continue
-        way = _find_way(worker, step, reserve, now)
-        if way is not None:
-            ways.append(way)
-    ways.sort(key=lambda way: (way.wait_s, len(way.victims)))
-    return ways
+        option = _find_option(worker, step, reserve, now)
+        if option is not None:
+            options.append(option)
+    options.sort(key=lambda option: (option.wait_s, len(option.victims)))
+    return options
 
 
-def _find_way(worker, step, reserve, now):
-    """Return how a task of `step` gets room on a worker, or None when it does not."""
+def _find_option(worker, step, reserve, now):
+    """Return a worker's option for a task of `step`, or None if the worker has none."""
     wait_s, ending = _time_to_fit(worker, step.spec, reserve, now)
-    victims = _victims(worker, step, reserve)
+    victims = _find_victims(worker, step, reserve)
     if wait_s == _NEVER and not victims:
         return None
-    return _Way(worker=worker, wait_s=wait_s, ending=ending, victims=victims)
+    return _Option(worker=worker, wait_s=wait_s, ending=ending, victims=victims)
 
 
 def _time_to_fit(worker, spec, reserve, now):
-    """Return when a task fits if nothing more is started there, and which runs end by then.
+    """Return the time until a task fits on a worker, and the runs that end by then.
 
-    The time is in seconds from now.
+    The time holds if no other task is started on the worker. Unit: seconds.
     """
-    room = _Room(worker, reserve)
-    if room.fits(spec):
+    capacity = _FreeCapacity(worker, reserve)
+    if capacity.fits(spec):
         return 0.0, []
     ending = []
-    left_s = 0.0
-    for left_s, run in sorted(((_left(run, now), run) for run in worker.runs.values()), key=_first):
-        room.give_back(run.step)
+    remaining_s = 0.0
+    for remaining_s, run in sorted(
+        ((_remaining_time(run, now), run) for run in worker.runs.values()), key=_first_item
+    ):
+        capacity.add(run.step)
         ending.append(run)
-        if left_s == _NEVER or room.fits(spec):
-            return left_s, ending
-    # An empty worker takes what could_fit let pass, and needs no reserve.
-    return left_s, ending
+        if remaining_s == _NEVER or capacity.fits(spec):
+            return remaining_s, ending
+    # When all runs have ended, the task fits: `could_fit` has compared it with the total capacity,
+    # and a worker without runs needs no reserve.
+    return remaining_s, ending
 
 
-def _victims(worker, step, reserve):
-    """Return the less urgent runs whose stop makes room, the youngest first; [] when it does not.
+def _find_victims(worker, step, reserve):
+    """Return the less urgent runs to stop for a task of `step`, the youngest first.
 
-    Only what resumes from a checkpoint: of other runs all work would be lost.
+    Only runs that can resume from a checkpoint are included, since others would lose all their
+    work. Returns [] if stopping them would not free enough capacity.
     """
-    room = _Room(worker, reserve)
+    capacity = _FreeCapacity(worker, reserve)
     chosen = []
     for run in sorted(worker.runs.values(), key=lambda run: -run.began_at):
-        if room.fits(step.spec):
+        if capacity.fits(step.spec):
             break
         if run.state in ("stopping", "barred"):
-            room.give_back(run.step)
+            capacity.add(run.step)
         elif _may_be_stopped(run, step.job.queue):
-            room.give_back(run.step)
+            capacity.add(run.step)
             chosen.append(run)
-    return chosen if room.fits(step.spec) else []
+    return chosen if capacity.fits(step.spec) else []
 
 
 def _may_be_stopped(run, queue):
@@ -191,42 +223,49 @@
     )
 
 
-def _length(step):
-    """Return how long a task of a step takes: as estimated, or as its running tasks show."""
-    lengths = [step.spec.estimate_s or _NEVER]
+def _task_duration(step):
+    """Return the duration of a task of a step: estimated, or projected from progress if longer.
+
+    Unit: seconds.
+    """
+    durations = [step.spec.estimate_s or _NEVER]
     for task in step.tasks:
-        lengths += [_full_length(run) for run in task.runs.values()]
-    return max(lengths)
+        durations += [_projected_duration(run) for run in task.runs.values()]
+    return max(durations)
 
 
-def _full_length(run):
-    worked = run.percent - run.first_percent
-    return 100 * (run.reported_at - run.began_at) / worked if worked > 0 else 0.0
+def _projected_duration(run):
+    """Return a run's duration at its speed so far; 0 without progress. Unit: seconds."""
+    progress = run.percent - run.first_percent
+    return 100 * (run.reported_at - run.began_at) / progress if progress > 0 else 0.0
 
 
-def _left(run, now):
-    """Return how long a run still takes. Unit: seconds."""
+def _remaining_time(run, now):
+    """Return a run's estimated remaining time. Unit: seconds."""
     if run.step.long_running:
         return _NEVER
     elapsed = now - run.began_at
     if run.percent > 0:
-        return max(LEAST_LEFT_S, elapsed * (100 - run.percent) / run.percent)
-    return max(LEAST_LEFT_S, run.step.estimate_s - elapsed)
+        return max(MIN_REMAINING_S, elapsed * (100 - run.percent) / run.percent)
+    return max(MIN_REMAINING_S, run.step.estimate_s - elapsed)
 
 
-def _first(item):
+def _first_item(item):
     return item[0]
 
 
-class _Room:
-    """What is free on a worker, and what would be, beyond the reserve."""
+class _FreeCapacity:
+    """Free capacity of a worker beyond the reserve, now or after the end of some runs.
+
+    `add` adds the resources of one task of a step, `take` subtracts them.
+    """
 
     def __init__(self, worker, reserve):
         self.cpu = worker.cpu_free - reserve * worker.info.cpu_milli
         self.memory = worker.memory_free
         self.accelerators = worker.gpu_free
 
-    def give_back(self, step):
+    def add(self, step):
         if not step.fills:
             self.cpu += step.cpu_milli
         self.memory += step.memory_mb
