--- a/anvilflow/jobs/tests/test_stalled_runs.py
+++ b/anvilflow/jobs/tests/test_stalled_runs.py
@@ -1,4 +1,4 @@
-"""How soon sick workers are seen by the progress of their runs, and what is left alone."""
+"""Detection of stalled and slow runs by their progress, and runs that must be left alone."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def report_all(scheduler, percents, now, *, clock_s=None):
-    """Let each worker report its runs' progress, then plan; return what is decided."""
+    """Report the progress of each run, then plan; return all actions."""
     actions = []
     for start, percent in percents:
         report = make_report(
@@ -34,31 +34,34 @@
     return actions + scheduler.plan(now, now)
 
 
-def stops(actions):
-    """Return why runs were stopped."""
+def stop_reasons(actions):
+    """Return the reasons of the stops among some actions."""
     return [action.why for action in actions if isinstance(action, StopRun)]
 
 
 def make_step(**values):
-    """Return a step of three quick tasks, each on a worker of its own."""
+    """Return a step of three short tasks, at most one on each worker."""
     return StepSpec(n_tasks=3, cpu_milli=1000, estimate_s=1.0, max_per_worker=1, **values)
 
 
-def test_hung_run_is_stopped_by_the_second_report_without_progress():
-    """A worker hangs while its health is good; a clerk waits for its only task.
+def test_stalled_run_is_stopped_at_the_first_report_without_progress():
+    """Guards against detecting a stalled run too late on a worker that reports good health.
 
-    Workers report each half second. Waiting for 1.4 s without progress, a quick lookup of 0.8 s
-    was answered 2.2 s after the hang began at the earliest.
+    Workers report every half second. With a limit of 1.4 s without progress, a task of 0.8 s was
+    done 2.2 s after the stall began at the earliest.
     """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     confirm_started(scheduler, [start], 0.0)
     assert report_all(scheduler, [(start, 20)], 0.2) == []
-    assert stops(report_all(scheduler, [(start, 20)], 0.85)) == ["stands still"]
+    assert stop_reasons(report_all(scheduler, [(start, 20)], 0.85)) == ["stands still"]
 
 
-def test_report_that_was_late_on_the_way_says_nothing_of_the_run():
-    """A link loses packets: two reports of neighbouring moments arrive a second apart."""
+def test_run_is_not_stalled_when_only_its_report_was_delayed():
+    """Guards against judging progress by when reports arrive.
+
+    A link loses packets: two reports made 0.01 s apart arrive more than a second apart.
+    """
     scheduler = make_scheduler()
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     confirm_started(scheduler, [start], 0.0)
@@ -66,24 +69,25 @@
     assert report_all(scheduler, [(start, 20)], 1.3, clock_s=0.21) == []
 
 
-def test_run_on_a_worker_that_turned_slow_is_made_again_at_once():
-    """One of three workers is six times as slow; its siblings are nearly done after 0.75 s.
+def test_run_on_a_worker_that_became_slow_is_replaced_at_once():
+    """Guards against comparing a run only with its estimate.
 
-    Judged by its estimate alone the run was left where it is for 2.2 s, and the job was late.
+    One of three workers is six times as slow; the tasks on the others are nearly done after 0.75 s.
+    With the estimate alone, the run stayed on the slow worker for 2.2 s, and the job was late.
     """
     scheduler = make_scheduler(n_workers=4)
     starts = add_job(scheduler, make_step())
     confirm_started(scheduler, starts, 0.0)
     slow, *others = starts
     actions = report_all(scheduler, [(slow, 9), *((s, 60) for s in others)], 0.6)
-    assert stops(actions) == ["slow"]
-    end_of_stop = [a for a in scheduler.plan(1.0, 1.0) if isinstance(a, StartRun)]
-    assert slow.worker_id not in {start.worker_id for start in end_of_stop}
+    assert stop_reasons(actions) == ["slow"]
+    restarts = [a for a in scheduler.plan(1.0, 1.0) if isinstance(a, StartRun)]
+    assert slow.worker_id not in {start.worker_id for start in restarts}
 
 
 @pytest.mark.parametrize("percent", [25, 35, 90])
-def test_run_that_is_a_little_slower_is_left_alone(percent):
-    """What a sound worker of the slower kind does with a task of the longer kind."""
+def test_run_that_is_only_a_little_slower_is_not_stopped(percent):
+    """Guards against stopping a longer task on a slower but healthy worker."""
     scheduler = make_scheduler(n_workers=4)
     starts = add_job(scheduler, make_step())
     confirm_started(scheduler, starts, 0.0)
@@ -92,8 +96,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_resumed_run_that_reads_its_checkpoint_does_not_stand_still(monkeypatch, safeguard):
-    """A run that was moved shows no progress for 0.6 s; stopped for it, it would never end."""
+def test_resumed_run_that_reads_its_checkpoint_is_not_stalled(monkeypatch, safeguard):
+    """Guards against stopping a resumed run, which reports no progress for 0.6 s.
+
+    It would be stopped after each resumption and never end.
+    """
     if not safeguard:
         monkeypatch.setattr(_stalled_runs, "RESTORE_S", 0.0)
     scheduler = make_scheduler()
@@ -105,15 +112,15 @@
     run.resumes = True
     confirm_started(scheduler, [start], 0.0)
     assert report_all(scheduler, [(start, 40)], 0.05) == []
-    stopped = stops(report_all(scheduler, [(start, 40)], 0.68))
+    stopped = stop_reasons(report_all(scheduler, [(start, 40)], 0.68))
     assert (stopped == []) is safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_that_stands_still_everywhere_is_tried_ever_longer(monkeypatch, safeguard):
-    """A job's own work stands still at 30 percent, wherever it runs.
+def test_task_that_stalls_on_every_worker_gets_more_time_each_time(monkeypatch, safeguard):
+    """Guards against endless restarts of a task that stalls at 30 percent wherever it runs.
 
-    Each time it is given twice as long, so that it costs the cell four starts in 20 s, not 30.
+    The time allowed doubles with each run, which limits the starts to four in 20 s instead of 30.
     """
     scheduler = make_scheduler(n_workers=40)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
@@ -125,7 +132,7 @@
         actions = report_all(scheduler, [(start, 30)], now)
         if not safeguard:
             task.n_stalled_runs = 0
-        if stops(actions):
+        if stop_reasons(actions):
             scheduler.stop_answered(start.worker_id, start.task, start.run_id, now)
             report = make_report(clock_s=now + 0.1)
             scheduler.report(start.worker_id, report, requested_at=now + 0.1, now=now + 0.1)
@@ -138,26 +145,30 @@
     assert (n_starts <= 6) is safeguard
 
 
-def test_looks_for_sick_runs_are_bounded():
-    """A plan follows each event; the look at all runs happens ten times a second at the most."""
+def test_checks_for_stalled_runs_are_limited_in_rate():
+    """Guards against a check of all runs in each plan, of which one follows each event.
+
+    The check is made at most ten times a second.
+    """
     scheduler = make_scheduler()
     assert isinstance(scheduler, Scheduler)
-    looks = []
-    scheduler.find_task = lambda name: looks.append(name) or (None, None)
+    lookups = []
+    scheduler.find_task = lambda name: lookups.append(name) or (None, None)
     [start] = add_job(scheduler, StepSpec(n_tasks=1, cpu_milli=1000, estimate_s=1.0))
     scheduler.workers[start.worker_id].runs[start.task].state = "running"
-    looks.clear()
+    lookups.clear()
     for number in range(100):
         scheduler.plan(1.0 + number * 0.01, 1.0)
-    assert len(looks) <= 11
+    assert len(lookups) <= 11
 
 
 @pytest.mark.parametrize("kind", ["taken on", "resumed"])
-def test_what_is_left_of_a_run_is_not_taken_for_a_whole_one(kind):
-    """A leader takes runs on that are nearly done, and one of them ends a moment later.
+def test_remainder_of_a_run_does_not_count_as_the_duration_of_its_task(kind):
+    """Guards against comparing runs with the remainder of a run that was adopted or resumed.
 
-    Its length here, 0.1 s, is no measure for its siblings. Taken for one, it made all of them look
-    slow after each change of leaders, and they were stopped again and again.
+    A leader adopts runs that are nearly done, and some of them end after 0.1 s. When that counted
+    as their duration, all other runs of the step seemed slow after each change of leaders and were
+    stopped again and again.
     """
     scheduler = make_scheduler(n_workers=5)
     step = StepSpec(n_tasks=5, cpu_milli=1000, estimate_s=4.0, max_per_worker=1)
@@ -174,8 +185,8 @@
     assert report_all(scheduler, [(first, 12), (second, 12)], 0.7) == []
 
 
-def test_run_that_is_taken_on_or_resumes_is_no_whole_one():
-    """Only a run that this leader started from nothing has its whole length measured."""
+def test_adopted_or_resumed_run_is_not_a_full_run():
+    """Guards against taking an adopted or resumed run for the whole duration of its task."""
     scheduler = make_scheduler()
     spec = JobSpec(
         job_id="00000000000000a1", queue="q", payload="", steps=(StepSpec(n_tasks=2, cpu_milli=1),)
@@ -191,11 +202,12 @@
     assert len(runs) == 2
 
 
-def test_worker_that_fails_for_very_long_goes_on_resting():
-    """A worker fails all that it is given, some 1,100 tasks in a row.
+def test_back_off_of_a_worker_with_very_many_failures_is_bounded():
+    """Guards against an overflow of the back-off, which doubles with each failure.
 
-    Its rest is doubled each time; the power outgrew a float, and the leader ended with an
-    OverflowError at the next end, as did each one after it that saw as many.
+    A worker fails some 1,100 tasks in a row. The power of two exceeded the range of a float, and
+    the leader ended with an OverflowError at the next failure, as did each later leader that
+    counted as many.
     """
     scheduler = make_scheduler(n_workers=1)
     worker = scheduler.workers["w0"]
