--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -1,4 +1,8 @@
-"""Advice requests: for which steps the advice service is asked, and about which workers."""
+"""Advice requests: for which steps the advice service is asked, and about which workers.
+
+The advice service decides on which workers the steps of some queues may run. A ticket is its
+permission to run a step on one worker, for a limited time.
+"""
 
 from ._actions import RequestAdvice
 from ._job import TaskState
@@ -41,7 +45,7 @@
 
 
 class AllowedShares:
-    """Estimates, for each queue, the share of the workers in a request that advice allows."""
+    """Estimates, for each queue, the share of the workers in a request that are allowed."""
 
     def __init__(self):
         self._counts = {}
@@ -129,7 +133,8 @@
 
     Workers with free capacity come first, beginning after the last worker of the previous request.
     In a cell of 270 workers that were named in a fixed order, all steps asked about the same 100
-    workers, which were full, and then had to make a second request.
+    workers, which were full, and then had to make a second request. For rack-sensitive steps, and
+    where the policy turns `asks_by_need` off, the first workers in a fixed order are returned.
     """
     by_need = scheduler.policy.asks_by_need and not step.spec.rack_sensitive
     workers = _workers_in_rotation(scheduler) if by_need else scheduler.workers.values()
