--- a/anvilflow/cell/tests/_helpers.py
+++ b/anvilflow/cell/tests/_helpers.py
@@ -1,14 +1,14 @@
-"""What the tests of the cell share."""
+"""Helpers shared by the tests of the cell."""
 
 from anvilflow.standins import PlatformCell
 
-#: A job's id, and a step of four small tasks.
+#: Id of a job, and a step of four small tasks.
 JOB = "00000000000000a1"
 STEP = {"count": 4, "cpu": 1000}
 
-#: Bounds of the strictest deployment: from the acknowledgement of a job's cancelling until its
-#: tasks have to be stopping; how long a stop may take; and from a late start, or the return of a
-#: worker, until the same. Unit: seconds.
+#: Limits of the strictest deployment. `CANCEL_S`: from the acknowledgement of a cancellation until
+#: the job's tasks must be stopping. `STOP_S`: duration of a stop. `CONTACT_S`: from a late start or
+#: the return of an unreachable worker until its tasks must be stopping. Unit: seconds.
 CANCEL_S = 3.0
 STOP_S = 0.4
 CONTACT_S = 3.0
@@ -21,8 +21,8 @@
     return cell
 
 
-def end_and_start_all(cell, *, settle_s=2.0):
-    """Kill all instances at once and start them again: none knows who should be the leader."""
+def restart_all_instances(cell, *, settle_s=2.0):
+    """Kill all instances at once and start them again, without any state about the leader."""
     names = list(cell.daemons)
     for name in names:
         cell.kill(name)
@@ -33,7 +33,7 @@
 
 
 def cancel(cell, instance, job_id=JOB):
-    """Cancel a job at an instance; return when that was acknowledged, at the latest after 3 s."""
+    """Cancel a job at an instance; return the time of the acknowledgement, within 3 s."""
     answers = cell.call(instance, "DELETE", f"/urgent/{job_id}")
     until = cell.clock.seconds() + 3.0
     while not answers and cell.clock.seconds() < until:
@@ -42,12 +42,12 @@
     return cell.clock.seconds()
 
 
-def find_runs_after_cancelling(cell, acked_at, job_id=JOB, *, answers_from=None):
-    """Return the runs that began or went on too long after a job's cancelling was acknowledged.
+def find_runs_after_cancelling(cell, acked_at, job_id=JOB, *, reachable_since=None):
+    """Return the runs that began or ended too long after a job's cancellation was acknowledged.
 
-    A run that a worker began late, on an order that it had left unanswered, is counted from its
-    start. Runs of a worker that was dark are counted from when it answered again, as named by
-    worker in `answers_from`.
+    For a run that began late, from a start command that the worker had not answered, the time
+    counts from the start of the run. For runs on a worker that was unreachable, it counts from the
+    time in `reachable_since`, by worker id, at which the worker was reachable again.
     """
     due = acked_at + CANCEL_S
     broken = []
@@ -56,9 +56,9 @@
             continue
         if span.began_at > due and not span.is_late:
             broken.append(f"{span.task} starts {span.began_at - acked_at:.2f} s after it")
-        heard_by = (answers_from or {}).get(span.worker, 0.0) + CONTACT_S
+        contact_by = (reachable_since or {}).get(span.worker, 0.0) + CONTACT_S
         late_by = span.began_at + CONTACT_S if span.is_late else 0.0
-        stopping_by = max(due, heard_by, late_by)
+        stopping_by = max(due, contact_by, late_by)
         ended_at = cell.clock.seconds() if span.ended_at is None else span.ended_at
         if ended_at > stopping_by + STOP_S:
             broken.append(f"{span.task} ends {ended_at - acked_at:.2f} s after it")
--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -11,7 +11,7 @@
 from anvilflow.cell._leadership import LeadershipPart
 from anvilflow.standins import make_platform_config
 
-from ._helpers import JOB, end_and_start_all, make_cell
+from ._helpers import JOB, make_cell, restart_all_instances
 
 #: Time in which a change must be in force, and the time after a disturbance from which that holds
 #: again. Unit: seconds.
@@ -139,7 +139,7 @@
     began within their time.
     """
     cell = make_cell(n_instances=3)
-    end_and_start_all(cell, settle_s=0.05)
+    restart_all_instances(cell, settle_s=0.05)
     answers = [cell.call(name, "GET", "/urgent/") for name in cell.daemons]
     cell.advance(2.0)
     assert [status for answer in answers for status, *_ in answer] == [200] * len(answers)
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -1,4 +1,7 @@
-"""What goes on running after a job was cancelled; each safeguard taken out once."""
+"""Runs that continue after the cancellation of their job.
+
+With `safeguard` False, a test disables the safeguard and expects the failure.
+"""
 
 import pytest
 from twisted.internet.defer import inlineCallbacks, succeed
@@ -11,23 +14,23 @@
 
 from ._helpers import CANCEL_S, JOB, STEP, cancel, find_runs_after_cancelling, make_cell
 
-#: A task that goes on until it is stopped.
-LASTING = "60.0 done 1000"
+#: Payload of a task that runs until it is stopped.
+LONG_TASK = "60.0 done 1000"
 ONE_TASK = {"count": 1, "cpu": 1000}
 
-#: Longest time after which a worker carries out an order that it left unanswered. Unit: seconds.
-LATEST_S = 12.0
+#: Longest delay after which a worker executes a command that it did not answer. Unit: seconds.
+MAX_DELAY_S = 12.0
 
 
-def _late_stops(cell, number):
-    """Let the next stops be carried out long after, on each worker."""
+def _delay_stops(cell, number):
+    """Make each worker execute its next `number` stops with a long delay, without an answer."""
     for worker in cell.workers.values():
-        worker.late_s = LATEST_S
+        worker.late_s = MAX_DELAY_S
         worker.n_late_stops = number
 
 
-def _late_starts(cell, late_s):
-    """Let the next start, with all its tries, be carried out late on whichever worker gets it."""
+def _delay_starts(cell, late_s):
+    """Make each worker execute its next start, with all retries, `late_s` later, unanswered."""
     for worker in cell.workers.values():
         worker.late_s = late_s
         worker.n_late_starts = len(START_TIMEOUTS_S)
@@ -49,53 +52,53 @@
     self.fleet.stop_answered(action)
 
 
-# The starter lives
+# The leader that sent the start keeps running
 
 
 @pytest.mark.parametrize("trusts_lease", [False, True])
 @pytest.mark.parametrize("n_late_stops", [0, 2])
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_cancelled_job_is_barred(
+def test_late_start_of_a_cancelled_job_is_refused_or_stopped(
     monkeypatch, safeguard, n_late_stops, trusts_lease
 ):
-    """A worker leaves a start unanswered; the job is cancelled; 2.4 s later the start takes effect.
+    """A worker does not answer a start and executes it 2.4 s later; meanwhile the job is cancelled.
 
-    The run is stopped although nobody knows that it begins, and the stop is sent again until the
-    worker has taken it: then the worker refuses the start, or ends what began before the stop came.
-    Were only runs stopped that have begun, the task would run on: its leader takes it for its own.
+    The leader must send the stop before the start is confirmed, and repeat the stop until the
+    worker answers: the worker then refuses the start, or ends a run that began before the stop.
+    If only confirmed runs were stopped, the late run would continue as one that the leader expects.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "_stop", _stop_begun)
+        monkeypatch.setattr(Scheduler, "_stop", _stop_if_confirmed)
     cell = make_cell(n_instances=3, n_workers=2)
     for worker in cell.workers.values():
         worker.trusts_lease = trusts_lease
         worker.n_late_stops = n_late_stops
-    _late_starts(cell, 2.4)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    _delay_starts(cell, 2.4)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(0.3)
     acked_at = cancel(cell, cell.other())
     cell.advance(9.0)
     assert (find_runs_after_cancelling(cell, acked_at) == []) is safeguard
 
 
-def _stop_begun(self, run, now, why):
+def _stop_if_confirmed(self, run, now, why):
     return [] if run.state == "starting" else _stop(self, run, now, why)
 
 
 @pytest.mark.parametrize("cancelled_at", [0.05, 1.0, 2.0, 2.45, 3.0])
-@pytest.mark.parametrize("deaf", [False, True])
-def test_late_start_is_stopped_whenever_its_job_is_cancelled(cancelled_at, deaf):
-    """A start takes effect 2.4 s late, its job is cancelled before or after, and stops go astray.
+@pytest.mark.parametrize("ignores_renewals", [False, True])
+def test_late_start_is_stopped_whenever_its_job_is_cancelled(cancelled_at, ignores_renewals):
+    """A start takes effect 2.4 s late, its job is cancelled before or after, and stops are delayed.
 
-    Where the worker does not answer holds either, its lease is not renewed, and all on it lapses.
+    If the worker does not answer lease renewals either, its leases expire and its runs lapse.
     """
     cell = make_cell(n_instances=3, n_workers=2)
     now = cell.clock.seconds()
     for worker in cell.workers.values():
         worker.n_late_stops = 2
-        worker.deaf_between = (now, now + 5.0) if deaf else (0.0, 0.0)
-    _late_starts(cell, 2.4)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+        worker.deaf_between = (now, now + 5.0) if ignores_renewals else (0.0, 0.0)
+    _delay_starts(cell, 2.4)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(cancelled_at)
     acked_at = cancel(cell, cell.other())
     cell.advance(12.0)
@@ -104,19 +107,19 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_start_is_not_sent_again_once_its_job_is_cancelled(monkeypatch, safeguard):
-    """A worker leaves a start unanswered; the job is cancelled before the start is sent again.
+def test_start_is_not_retried_after_its_job_is_cancelled(monkeypatch, safeguard):
+    """A worker does not answer a start, and the job is cancelled before the start is retried.
 
-    The stop goes astray, too, so that the worker does not refuse a second try: sent all the same,
-    it begins a task of a job whose cancelling was acknowledged.
+    The stop is delayed as well, so the worker would not refuse a retry: the retry would start a
+    task of a job whose cancellation was acknowledged.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "is_wanted", lambda self, action: True)
     cell = make_cell(n_instances=3, n_workers=2)
     for worker in cell.workers.values():
-        worker.late_s = LATEST_S
+        worker.late_s = MAX_DELAY_S
         worker.n_late_starts = worker.n_late_stops = 1
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(0.05)
     acked_at = cancel(cell, cell.other())
     cell.advance(6.0)
@@ -125,17 +128,17 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_stop_that_a_worker_leaves_unanswered_is_sent_again(monkeypatch, safeguard):
-    """A job is cancelled while it runs; the worker carries the first stops out 12 s later.
+def test_unanswered_stop_is_repeated(monkeypatch, safeguard):
+    """A job is cancelled while it runs, and workers execute the first stops 12 s later, unanswered.
 
-    Each stop is sent again until the worker takes it. Sent once, it comes far too late.
+    Each stop is repeated until the worker answers. Sent only once, it takes effect far too late.
     """
     if not safeguard:
         monkeypatch.setattr(WorkerSession, "stop", _stop_once)
     cell = make_cell(n_instances=3, n_workers=2)
-    cell.submit(cell.other(), JOB, STEP, spec=LASTING)
+    cell.submit(cell.other(), JOB, STEP, spec=LONG_TASK)
     cell.advance(1.0)
-    _late_stops(cell, 6)
+    _delay_stops(cell, 6)
     acked_at = cancel(cell, cell.other())
     cell.advance(9.0)
     assert len(cell.spans) == 4
@@ -144,15 +147,15 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_tasks_on_a_worker_that_left_the_registry_are_stopped(monkeypatch, safeguard):
-    """A worker's entry is gone while its task runs on; then the job is cancelled.
+    """A worker's registry entry is removed while its task runs; then the job is cancelled.
 
-    The leader goes on holding the worker, and its stop reaches it. Given up with its entry, the
-    task would run until its lease lapses.
+    The leader must keep its session with the worker to send the stop. If the session ended with the
+    entry, the task would run until its lease expires.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "registry_entry_removed", _fleet.Fleet.worker_gone)
     cell = make_cell(n_instances=3, n_workers=2)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(1.0)
     cell.store.remove("servers", cell.spans[0].worker)
     cell.advance(0.1)
@@ -162,24 +165,24 @@
     assert (cell.spans[0].how == "stopped") is safeguard
 
 
-# The starter is removed
+# The leader that sent the start is removed
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_leader_is_stopped_by_the_next(monkeypatch, safeguard):
-    """A worker leaves a start unanswered; the job is cancelled and its leader is removed for good.
+def test_late_start_of_a_removed_leader_is_stopped_by_the_next_leader(monkeypatch, safeguard):
+    """A worker does not answer a start, the job is cancelled, and the leader is removed for good.
 
-    The worker, which the next leader does not reach yet, carries the start out. No record tells of
-    it: the next leader finds the run among what the worker lists, and stops it. Left alone it would
-    run on under the leases of the next leader.
+    The worker executes the start while the next leader cannot reach it. No record mentions the run:
+    the next leader finds it in the worker's report and must stop it. Otherwise it would continue
+    under the leases of the next leader.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
-    _late_starts(cell, 1.5)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    _delay_starts(cell, 1.5)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(0.05)
-    _late_stops(cell, 2)
+    _delay_stops(cell, 2)
     acked_at = cancel(cell, cell.other())
     _replace_leader(cell)
     for faults in cell.worker_faults.values():
@@ -193,21 +196,21 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_next_leader(monkeypatch, safeguard):
-    """A cancelling is durable, its stops go astray, and two leaders in a row are removed.
+def test_tasks_of_a_cancelled_job_are_stopped_at_once_by_each_new_leader(monkeypatch, safeguard):
+    """A cancellation is durable, its stops are delayed, and two leaders in a row are removed.
 
-    Each next leader lists the job as ended and stops its tasks at the first report. Taken for those
-    of a job that may yet be heard of, they wait 1.5 s at each leader, and the third one comes late:
-    they ran for 4.0 s after the cancelling, 0.6 s too long.
+    Each new leader loads the job as ended and stops its runs at the first report. If they were
+    treated as runs of a job that may still appear in the feed, each leader would wait 1.5 s, and
+    the third would stop them too late: they ran for 4.0 s after the cancellation, 0.6 s too long.
     """
     if not safeguard:
         monkeypatch.setattr(
             Scheduler, "_may_appear_in_feed", lambda self, job_id: job_id not in self.jobs
         )
     cell = make_cell(n_instances=4, n_workers=2)
-    cell.submit(cell.other(), JOB, STEP, spec=LASTING)
+    cell.submit(cell.other(), JOB, STEP, spec=LONG_TASK)
     cell.advance(1.0)
-    _late_stops(cell, 100)
+    _delay_stops(cell, 100)
     acked_at = cancel(cell, cell.other())
     _replace_leader(cell)
     cell.advance(1.8)
@@ -219,15 +222,16 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_a_gateway_accepts_without_a_leader_is_carried_out(monkeypatch, safeguard):
-    """The leader is removed; a client cancels before there is another, and hears 200.
+def test_cancellation_accepted_without_a_leader_takes_effect(monkeypatch, safeguard):
+    """The leader is removed; a client cancels before there is a new leader, and receives 200.
 
-    The mark in the store is read by the next leader when it begins. Not read, the job would go on.
+    The gateway writes a cancel mark to the store, and the next leader must read it when its term
+    begins. Otherwise the job would continue.
     """
     if not safeguard:
         monkeypatch.setattr(_job_intake.JobIntake, "process_row", lambda self, row: [])
     cell = make_cell(n_instances=3, n_workers=2)
-    cell.submit(cell.other(), JOB, STEP, spec=LASTING)
+    cell.submit(cell.other(), JOB, STEP, spec=LONG_TASK)
     cell.advance(1.0)
     name = cell.other()
     _replace_leader(cell)
@@ -238,21 +242,21 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_cancelling_that_was_lost_with_its_leader_is_marked_by_the_gateway(monkeypatch, safeguard):
-    """A slow store has not taken the cancelling yet when the leader that wrote it is removed.
+def test_cancellation_lost_with_its_leader_is_marked_by_the_gateway(monkeypatch, safeguard):
+    """A slow store has not applied a cancellation yet when the leader that wrote it is removed.
 
-    The entry that asked for it writes a mark before it answers. The 2xx of one that did not would
-    be for nothing: the next leader knows of no cancelling.
+    The gateway of the call must write a cancel mark before it answers. Otherwise it would answer
+    2xx for a cancellation that the next leader has no record of.
     """
     if not safeguard:
         monkeypatch.setattr(_gateway, "cancel_stored_job", lambda store, job_id: succeed(True))
     cell = make_cell(n_instances=3, n_workers=2)
-    cell.submit(cell.other(), JOB, STEP, spec=LASTING)
+    cell.submit(cell.other(), JOB, STEP, spec=LONG_TASK)
     cell.advance(1.0)
     former, name = cell.leader(), cell.other()
     cell.store_faults.late_s = 20.0
     cell.store_faults.only = {former}
-    _late_stops(cell, 1)
+    _delay_stops(cell, 1)
     answers = cell.call(name, "DELETE", f"/urgent/{JOB}")
     cell.advance(0.1)
     assert not answers
@@ -265,16 +269,17 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_a_dark_worker_is_stopped_by_the_next_leader(monkeypatch, safeguard):
-    """A worker goes dark, its task's job is cancelled, and the leader is removed; then it answers.
+def test_task_on_an_unreachable_worker_is_stopped_by_the_next_leader(monkeypatch, safeguard):
+    """A worker is unreachable while its job is cancelled and the leader removed, then reachable.
 
-    The former leader's row names the task, which is not taken on: its job has ended. Listed by the
-    worker it is stopped. Left alone it would run on under the next leader's leases.
+    The former leader's row names the task, but the next leader does not adopt it, as its job has
+    ended. The run must be stopped once the worker lists it. Otherwise it would continue under the
+    next leader's leases.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(1.0)
     faults = cell.worker_faults[cell.spans[0].worker]
     faults.silent = True
@@ -290,19 +295,20 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_on_a_worker_that_was_given_up_is_stopped(monkeypatch, safeguard):
-    """A worker leaves a start unanswered, goes dark and loses its entry; its leader gives it up.
+def test_late_start_on_a_worker_whose_session_was_closed_is_stopped(monkeypatch, safeguard):
+    """A worker does not answer a start, becomes unreachable and loses its registry entry.
 
-    With the session the stops end that should have barred the run. The worker registers again and
-    carries the start out; the new session hears of it as of a run that has no place, and stops it.
+    The leader closes the session, and with it ends the repeated stop of the run. The worker
+    registers again and executes the start. The new session must stop the run that the worker lists
+    and that the leader has no task for.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=1)
     worker = cell.workers["i-0"]
     worker.trusts_lease = True
-    _late_starts(cell, 8.0)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    _delay_starts(cell, 8.0)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(0.05)
     cell.worker_faults["i-0"].silent = True
     acked_at = cancel(cell, cell.other())
@@ -317,18 +323,18 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_late_start_of_a_removed_leader_is_refused_where_the_next_was_heard(monkeypatch, safeguard):
-    """A start takes effect after the next leader has held the worker: its token is too low by then.
+def test_workers_refuse_a_late_start_of_a_removed_leader(monkeypatch, safeguard):
+    """A start arrives after the next leader has contacted the worker, so its token is too low.
 
-    Were the tokens of both leaders alike, the task of a cancelled job would begin.
+    If both leaders had the same token, the task of a cancelled job would start.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
     cell = make_cell(n_instances=3, n_workers=2)
-    _late_starts(cell, 2.4)
-    cell.submit(cell.other(), JOB, ONE_TASK, spec=LASTING)
+    _delay_starts(cell, 2.4)
+    cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(0.05)
-    _late_stops(cell, 1)
+    _delay_stops(cell, 1)
     acked_at = cancel(cell, cell.other())
     _replace_leader(cell)
     cell.advance(9.0)
@@ -341,18 +347,18 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_of_a_job_that_nobody_remembers_is_stopped(monkeypatch, safeguard):
-    """A worker carries a start out whose job is long over: its rows are gone from the store.
+def test_run_of_a_job_without_rows_is_stopped(monkeypatch, safeguard):
+    """A worker executes a start whose job ended long ago and has no rows in the store any more.
 
-    The leader waits whether it hears of the job, and stops the run. Waiting for ever, it would
-    renew its lease with all others on the worker.
+    The leader waits a limited time for the job to appear in the feed, then stops the run. Without
+    the limit it would renew the run's lease with all others on the worker.
     """
     if not safeguard:
         monkeypatch.setattr(_run_tracker, "UNKNOWN_JOB_S", float("inf"))
     cell = make_cell(n_instances=3, n_workers=2)
     fleet = cell.daemons[cell.leader()].supervisor.part("home")._fleet
     start = StartRun(
-        worker_id="i-0", task=f"{JOB}.0.0.0", run_id=1, payload=LASTING, checkpoint="", ticket=""
+        worker_id="i-0", task=f"{JOB}.0.0.0", run_id=1, payload=LONG_TASK, checkpoint="", ticket=""
     )
     worker = cell.workers["i-0"]
     worker.late_s = 2.0
@@ -367,21 +373,19 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_replaced_while_it_stops_tasks_leaves_the_rest_to_the_next(
-    monkeypatch, safeguard
-):
-    """A leader is paused while its stops are under way, and wakes when there is another one.
+def test_next_leader_completes_the_stops_of_a_paused_leader(monkeypatch, safeguard):
+    """A leader is paused while its stops are in progress, and resumes when there is a new leader.
 
-    Its own stops carry a token that the workers refuse by then. The next leader stops what is left,
-    which it finds listed.
+    Workers refuse the token of its stops by then. The new leader must stop the remaining runs,
+    which it finds in the workers' reports.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt", _without_orphan_runs)
     cell = make_cell(n_instances=3, n_workers=2)
     former = cell.leader()
-    cell.submit(cell.other(), JOB, STEP, spec=LASTING)
+    cell.submit(cell.other(), JOB, STEP, spec=LONG_TASK)
     cell.advance(1.0)
-    _late_stops(cell, 4)
+    _delay_stops(cell, 4)
     acked_at = cancel(cell, cell.other())
     cell.pause(former)
     cell.advance(3.0)
@@ -392,6 +396,6 @@
 
 
 def _replace_leader(cell):
-    """Remove the leader for good, and start an instance that was not there before."""
+    """Remove the leader for good, and start a new instance."""
     cell.kill(cell.leader())
     cell.start_instance(f"b{len(cell.clocks)}")
--- a/anvilflow/cell/tests/test_carriers.py
+++ b/anvilflow/cell/tests/test_carriers.py
@@ -22,7 +22,7 @@
 
 from ._helpers import JOB, cancel, find_runs_after_cancelling, make_cell
 from .test_drawn_crashes import CrashScenario
-from .test_drawn_faults import DrawnDay
+from .test_drawn_faults import CancellationScenario
 
 NAMES = tuple(f"a{number}" for number in range(5))
 
@@ -354,7 +354,7 @@
 def test_drawn_days_with_relays(monkeypatch, seed):
     """Cancelled jobs, orders that go astray, leaders and workers that are lost, as without them."""
     monkeypatch.setattr(RelayDispatcher, "are_used", True)
-    assert DrawnDay(seed=seed).play() == []
+    assert CancellationScenario(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -1,4 +1,4 @@
-"""A leader whose link is full."""
+"""Bursts of jobs over a saturated link of the leader."""
 
 import pytest
 from msgspec import Struct
@@ -8,50 +8,51 @@
 
 from ._helpers import JOB, make_cell
 
-#: Link of the leader: 2 Mbit/s. Unit: bytes a second.
-NARROW = 250_000
+#: Bandwidth of the links: 2 Mbit/s. Unit: bytes per second.
+LINK_BYTES_PER_S = 250_000
 
-#: Size of a job's payload, which each start carries. Unit: bytes.
-N_PAYLOAD = 1_000
+#: Size of a job's payload, which each start command contains. Unit: bytes.
+PAYLOAD_BYTES = 1_000
 
-#: Tasks of a job, and jobs a second before, in and after the burst. The link carries about 150
-#: starts a second with the ends that follow them.
+#: Tasks per job, and jobs per second outside and during the burst. The link has the bandwidth for
+#: about 150 starts per second and the ends that follow them.
 N_TASKS = 8
-USUAL = 7
-BURST = 38
+NORMAL_RATE = 7
+BURST_RATE = 38
 
-#: Length of the burst, and when starts have to come as usual again after it. Unit: seconds.
+#: Duration of the burst, and the time after it within which the rate of starts must be normal
+#: again. Unit: seconds.
 BURST_S = 4.0
-BACK_S = 2.0
+RECOVERY_S = 2.0
 
-#: When a job of these should be done: twice its length and a quarter of a second. Unit: seconds.
+#: Latency objective of these jobs: twice their duration plus a quarter of a second. Unit: seconds.
 OBJECTIVE_S = 2.0 * 0.8 + 0.25
 
-#: Starts in vain that a burst may cost.
-MAX_WASTED_SHARE = 0.05
+#: Maximum share of runs that do not complete.
+MAX_FAILED_RUN_SHARE = 0.05
 
 
 class _Submitted(Struct, kw_only=True):
-    """When a job was submitted, and the answers that its client got."""
+    """Time of a job's submission, and the answers that its client received."""
 
     at: float
     answers: list
 
     @property
     def is_accepted(self):
-        """Whether the client was told so."""
+        """Whether the client received a 200."""
         return bool(self.answers) and self.answers[0][0] == 200
 
 
 def _submit_for(cell, seconds, rate, submitted):
-    """Submit jobs at a rate; note them by their ids."""
+    """Submit jobs at a rate for some seconds; add them to `submitted` by their ids."""
     gateways = [name for name in cell.daemons if name != cell.leader()]
     step = {"count": N_TASKS, "cpu": 500, "estimate-ms": 800}
     for _ in range(round(seconds * rate)):
         number = len(submitted)
         job_id = f"{number:016x}"
         gateway = gateways[number % len(gateways)]
-        answers = cell.submit(gateway, job_id, step, spec="x" * N_PAYLOAD)
+        answers = cell.submit(gateway, job_id, step, spec="x" * PAYLOAD_BYTES)
         submitted[job_id] = _Submitted(at=cell.clock.seconds(), answers=answers)
         cell.advance(1 / rate)
 
@@ -65,39 +66,45 @@
         random_state=seed,
     )
     for name in cell.daemons:
-        cell.wire.narrow_link(name, NARROW)
+        cell.wire.narrow_link(name, LINK_BYTES_PER_S)
     submitted = {}
-    _submit_for(cell, 2.0, USUAL, submitted)
-    _submit_for(cell, burst_s, BURST, submitted)
+    _submit_for(cell, 2.0, NORMAL_RATE, submitted)
+    _submit_for(cell, burst_s, BURST_RATE, submitted)
     ended_at = cell.clock.seconds()
-    _submit_for(cell, 8.0, USUAL, submitted)
+    _submit_for(cell, 8.0, NORMAL_RATE, submitted)
     cell.advance(12.0)
     return cell, submitted, ended_at
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_burst_over_a_full_link_does_not_outlast_its_end(seed):
-    """Starts that are late on a full link are sent again and again, and fill it for good."""
+def test_starts_recover_after_a_burst_over_a_saturated_link(seed):
+    """Guards against retries of late starts that keep the link saturated after the burst.
+
+    On a saturated link, answers to starts are late, and each retry adds to the load.
+    """
     cell, submitted, ended_at = _play_burst(seed)
     done = [span for span in cell.spans if span.how == "done"]
-    back_at = ended_at + BACK_S
-    n_back = sum(back_at <= span.began_at < back_at + 4.0 for span in done)
-    assert n_back >= 4.0 * USUAL * N_TASKS
-    assert len(cell.spans) - len(done) <= MAX_WASTED_SHARE * len(cell.spans)
+    recovered_at = ended_at + RECOVERY_S
+    n_after_recovery = sum(recovered_at <= span.began_at < recovered_at + 4.0 for span in done)
+    assert n_after_recovery >= 4.0 * NORMAL_RATE * N_TASKS
+    assert len(cell.spans) - len(done) <= MAX_FAILED_RUN_SHARE * len(cell.spans)
     accepted = [job_id for job_id, each in submitted.items() if each.is_accepted]
     names = {f"{job_id}.0.0.{index}" for job_id in accepted for index in range(N_TASKS)}
     assert names <= {span.task for span in done}
     assert cell.check() == []
 
 
-def _longest_wait(cell, submitted):
-    """Return the longest time from a job's submission to the start of a task of it."""
+def _max_start_delay_s(cell, submitted):
+    """Return the longest time from the submission of a job to the start of one of its tasks."""
     return max(span.began_at - submitted[span.task.split(".")[0]].at for span in cell.spans)
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_jobs_that_would_begin_too_late_are_refused_at_once(monkeypatch, safeguard):
-    """Accepted, they are done too late themselves and make all that come after them late."""
+def test_jobs_that_would_start_too_late_are_refused_at_once(monkeypatch, safeguard):
+    """Guards against accepting jobs whose start delay is already above their latency objective.
+
+    They would complete too late and delay all later jobs.
+    """
     if not safeguard:
         monkeypatch.setattr(StartDelays, "wait_s", lambda self, priority: 0.0)
     cell, submitted, _ = _play_burst(1, burst_s=2 * BURST_S)
@@ -105,12 +112,15 @@
     assert bool(refused) is safeguard
     assert all(status == 503 for status, _, _ in refused)
     assert all(1 <= int(headers[b"retry-after"]) <= 10 for _, _, headers in refused)
-    is_in_time = _longest_wait(cell, submitted) < OBJECTIVE_S + DEFERRED_S + MAX_AGE_S
+    is_in_time = _max_start_delay_s(cell, submitted) < OBJECTIVE_S + DEFERRED_S + MAX_AGE_S
     assert is_in_time is safeguard
 
 
-def test_job_that_was_accepted_before_is_not_refused():
-    """Its client had no answer and sends it again: that it has not run would not be true."""
+def test_retry_of_an_accepted_job_is_not_refused():
+    """Guards against refusing a retry, from a client without an answer, of an accepted job.
+
+    A refusal states that the job has not run, which would be false.
+    """
     cell = make_cell()
     step = {"count": 1, "cpu": 500, "estimate-ms": 100}
     cell.submit(cell.other(), JOB, step, spec="0.1 done 500")
--- a/anvilflow/cell/tests/test_crashing_tasks.py
+++ b/anvilflow/cell/tests/test_crashing_tasks.py
@@ -9,7 +9,7 @@
 OTHER_JOB = "00000000000000b2"
 
 #: Maximum number of starts of a task after it has crashed three workers.
-MAX_STARTS_AFTER = 2
+MAX_STARTS_AFTER_THIRD_CRASH = 2
 
 #: Payloads of tasks that crash their worker 10 ms and 1.5 s after the start.
 CRASH = "0.01 crash 1000"
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("refuses", [False, True])
 def test_task_that_crashes_two_workers_is_not_started_a_third_time(refuses):
-    """Guards against restarting a crashing task without limit."""
+    """Guards against restarting without limit a task that crashes each worker after 10 ms."""
     cell = _make_cell(refuses=refuses)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=CRASH)
     cell.advance(40.0)
@@ -61,8 +61,8 @@
     assert cell.state("a0", JOB) == "failed"
 
 
-def test_task_that_crashes_its_worker_a_while_after_the_start_is_given_up():
-    """Guards against counting only crashes right after the start."""
+def test_task_that_crashes_its_worker_soon_after_the_start_fails():
+    """Guards against counting only crashes right after the start: this task crashes after 1.5 s."""
     cell = _make_cell()
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=LATE_CRASH)
     cell.advance(40.0)
@@ -71,18 +71,18 @@
 
 
 @pytest.mark.parametrize("seconds", [5.0, 8.0])
-def test_task_that_always_crashes_its_worker_late_is_given_up(seconds):
-    """Guards against never attributing late crashes to their task."""
+def test_task_that_always_crashes_its_worker_late_fails(seconds):
+    """Guards against never attributing to their task crashes that occur seconds after the start."""
     cell = _make_cell()
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=f"{seconds} crash 1000")
     cell.advance(150.0)
-    assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER
+    assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER_THIRD_CRASH
     assert cell.state("a0", JOB) == "failed"
 
 
 @pytest.mark.parametrize("kill_delay_s", [0.05, 1.0])
 def test_crashes_are_counted_across_leaders(kill_delay_s):
-    """Guards against losing the crash count when the leader fails after each crash."""
+    """Guards against losing the crash count when the leader is killed after each crash."""
     cell = _make_cell(n_instances=5)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=CRASH)
     kill_at = None
@@ -99,12 +99,12 @@
             cell.kill(leader)
             cell.clock.callLater(1.0, cell.start_instance, leader)
     cell.advance(3.0)
-    assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER
+    assert _starts_after_third_crash(cell) <= MAX_STARTS_AFTER_THIRD_CRASH
     assert cell.state(next(iter(cell.daemons)), JOB) == "failed"
 
 
 @pytest.mark.parametrize("step", [{"gang": True}, {"long-running": True}])
-def test_member_that_crashes_its_worker_ends_its_job(step):
+def test_gang_or_long_running_task_that_crashes_its_worker_fails_its_job(step):
     """Guards against ignoring crashes of gang and long-running tasks."""
     cell = PlatformCell(
         n_workers=8,
@@ -119,8 +119,8 @@
     assert cell.state("a0", JOB) == "failed"
 
 
-def test_suspect_is_not_started_while_the_store_is_away():
-    """Guards against starts whose crashes cannot be recorded in the store."""
+def test_suspect_task_is_not_started_while_the_store_is_unavailable():
+    """Guards against restarting a suspect task while the store cannot record a further crash."""
     cell = _make_cell()
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec=CRASH)
     cell.advance(1.0)
@@ -134,23 +134,23 @@
     assert cell.state("a0", JOB) == "failed"
 
 
-def test_good_jobs_beside_crashing_ones_are_done():
-    """Guards against failing jobs whose tasks share workers with crashing tasks."""
+def test_healthy_jobs_beside_crashing_jobs_complete():
+    """Guards against failing healthy jobs whose tasks share workers with crashing tasks."""
     cell = _make_cell(n_workers=6)
-    good_jobs = [f"{number:016x}" for number in range(16, 28)]
+    healthy_jobs = [f"{number:016x}" for number in range(16, 28)]
     for job_id in (JOB, OTHER_JOB):
         cell.submit("a0", job_id, {"count": 1, "cpu": 1000}, spec=CRASH)
-    for job_id in good_jobs:
+    for job_id in healthy_jobs:
         cell.submit("a0", job_id, {"count": 2, "cpu": 2000}, spec="4.0 done 2000")
     cell.advance(60.0)
-    assert [cell.state("a0", job_id) for job_id in good_jobs] == ["completed"] * 12
+    assert [cell.state("a0", job_id) for job_id in healthy_jobs] == ["completed"] * 12
     assert len(_lost_runs(cell, JOB)) == len(_lost_runs(cell, OTHER_JOB)) == 2
     assert cell.state("a0", JOB) == cell.state("a0", OTHER_JOB) == "failed"
     assert cell.check() == []
 
 
 @pytest.mark.parametrize("interval_s", [3.0, 4.0, 6.0])
-def test_jobs_on_workers_that_crash_by_themselves_are_done(interval_s):
+def test_jobs_on_workers_that_crash_independently_complete(interval_s):
     """Guards against failing tasks for worker crashes that they did not cause."""
     cell = _make_cell(n_workers=6)
     jobs = [f"{number:016x}" for number in range(16, 22)]
@@ -165,8 +165,8 @@
     assert cell.check() == []
 
 
-def test_worker_that_is_cut_off_is_no_crash():
-    """Guards against counting a temporary loss of connection as a crash."""
+def test_cut_off_worker_is_not_counted_as_a_crash():
+    """Guards against counting as a crash the time in which a worker is cut off and unregistered."""
     cell = _make_cell(n_workers=4)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="20.0 done 1000")
     for _ in range(3):
@@ -182,8 +182,8 @@
     assert cell.check() == []
 
 
-def test_worker_that_drains_and_leaves_is_no_crash():
-    """Guards against counting the removal of a drained worker as a crash."""
+def test_drained_worker_that_stops_is_not_counted_as_a_crash():
+    """Guards against counting it as a crash when a worker stops after it was set to draining."""
     cell = _make_cell(n_workers=4)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000, "long-running": True}, spec="99.0 done 1000")
     for _ in range(3):
@@ -196,15 +196,15 @@
     assert cell.state("a0", JOB) == "running"
 
 
-@pytest.mark.parametrize("shrunk", [6000, 1000])
-def test_capacity_that_shrinks_binds_the_next_start(shrunk):
-    """Guards against scheduling by the capacity that a worker had when it registered."""
+@pytest.mark.parametrize("reduced_cpu", [6000, 1000])
+def test_reduced_capacity_limits_the_next_starts(reduced_cpu):
+    """Guards against scheduling by the capacity of a worker at its registration."""
     config = make_platform_config()
     cell = PlatformCell(n_workers=1, config=config)
     cell.start()
     cell.submit("a0", JOB, {"count": 4, "cpu": 1000}, spec="2.0 done 1000")
     cell.advance(0.5)
-    cell.set_capacity("i-0", shrunk)
+    cell.set_capacity("i-0", reduced_cpu)
     cell.advance(0.5)
     cell.submit("a0", OTHER_JOB, {"count": 12, "cpu": 1000}, spec="1.0 done 1000")
     cell.advance(30.0)
@@ -212,8 +212,8 @@
     assert cell.state("a0", OTHER_JOB) == "completed"
 
 
-def test_capacity_that_grows_is_used_at_once():
-    """Guards against tasks that wait although a worker's capacity was increased."""
+def test_increased_capacity_is_used_at_once():
+    """Guards against leaving tasks waiting after the capacity of a worker was increased."""
     cell = PlatformCell(n_workers=1, cpu=2000)
     cell.start()
     cell.submit("a0", JOB, {"count": 12, "cpu": 1000}, spec="9.0 done 1000")
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""What callers get of an instance that is told to stop."""
+"""Answers to callers of an instance that is shutting down."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 
 from ._helpers import JOB, make_cell
 
-#: Time that the platform gives a process to end by itself. Unit: seconds.
+#: Grace period of the platform between SIGTERM and SIGKILL. Unit: seconds.
 GRACE_S = 6.0
 
 
 def _drain(cell, name):
-    """Tell an instance to stop; return a list that gets the time of its end."""
+    """Drain an instance; return a list that receives the time of its end."""
     ends = []
     done = cell.daemons[name].drain()
     done.addCallback(lambda _: ends.append(cell.clock.seconds()))
@@ -21,13 +21,11 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_call_that_is_in_progress_is_answered_before_the_process_ends(monkeypatch, safeguard):
-    """A caller submits a job to an instance that is about to end, and hears nothing.
+    """A client submits a job to an instance that is about to stop, and receives no answer.
 
-    The store is slow, and the process ended 3.5 s after its signal whatever was in progress; the
-    caller did not know whether the job had been accepted.
-
-    Evidence. A soak's caller had no answer to a call that it had sent to such an instance within
-    20 ms before `stopped` in its log.
+    The process ended 3.5 s after SIGTERM even with calls in progress, as here with a slow store.
+    The client did not know whether the job had been accepted. This occurred in a soak run, with a
+    call sent less than 20 ms before the log event `stopped`.
     """
     if not safeguard:
         monkeypatch.setattr(CellDaemon, "_answer_last_calls", lambda self, end_at: None)
@@ -45,8 +43,11 @@
     assert len(ends) == 1
 
 
-def test_call_that_cannot_be_answered_does_not_keep_the_process_until_it_is_killed():
-    """The store takes calls and answers none, and callers go on asking over open connections."""
+def test_unanswerable_calls_do_not_keep_the_process_until_it_is_killed():
+    """The store answers no calls while clients keep sending requests over open connections.
+
+    Waiting for all calls without a limit would last until SIGKILL.
+    """
     cell = make_cell(n_instances=3)
     name = cell.other()
     began = cell.clock.seconds()
@@ -59,8 +60,8 @@
     assert ends[0] - began <= GRACE_S - END_MARGIN_S + 0.01
 
 
-def test_instance_without_calls_ends_as_soon_as_the_balancer_knows():
-    """Nobody waits for an instance that has nothing to answer."""
+def test_instance_without_calls_ends_once_the_balancer_sends_no_connections():
+    """Guards against waiting for the whole grace period without calls in progress."""
     cell = make_cell(n_instances=3)
     began = cell.clock.seconds()
     ends = _drain(cell, cell.other())
@@ -69,8 +70,12 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_stops_is_followed_at_once_however_much_it_records(monkeypatch, safeguard):
-    """Each of its records between a successor's reading and claim had the claim refused."""
+def test_draining_leader_is_replaced_at_once_however_much_it_records(monkeypatch, safeguard):
+    """Guards against a draining leader that stays leader because it writes too many records.
+
+    Each record written between a successor's read of the leader's row and its claim makes the store
+    refuse the claim.
+    """
     if not safeguard:
         monkeypatch.setattr(_leadership, "CLAIM_TRIES", 1)
         monkeypatch.setattr(_recorder, "LEAVING_COMMIT_INTERVAL_S", 0.0)
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -74,14 +74,14 @@
             while cell.clock.seconds() - began_at < at:
                 cell.advance(STEP_S)
             act(subject)
-        self._mark_untold_ends()
+        self._mark_unacknowledged_ends()
         broken = find_broken_runs(cell.spans, cell.workers, capacity_delay_s=CAPACITY_DELAY_S)
         if max_starts_after_third_crash(cell) > 2:
             broken.append("a task was started too often after its third crash")
         return broken + self._check_states()
 
-    def _mark_untold_ends(self):
-        """Mark completed runs whose end was not acknowledged: their tasks are started again."""
+    def _mark_unacknowledged_ends(self):
+        """Mark completed runs whose end no leader acknowledged: their tasks are started again."""
         for span in self.cell.spans:
             if (span.task, span.run_id) in self.cell.workers[span.worker].untold_ends:
                 span.how = "untold" if span.how == "done" else span.how
@@ -163,5 +163,5 @@
 
 @pytest.mark.parametrize("seed", [0, 1, 2, 3, 12, 29, 91, 188])
 def test_crashing_jobs_fail_and_other_jobs_complete(seed):
-    """Guards against miscounting crashes during leader changes, outages and worker silence."""
+    """Guards against miscounting crashes when leaders change and the store or workers fail."""
     assert CrashScenario(seed=seed).play() == []
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -1,4 +1,4 @@
-"""Jobs that are cancelled under drawn faults of orders, leaders and workers."""
+"""Cancelled jobs, under random faults of commands, leaders and workers."""
 
 from random import Random
 
@@ -12,22 +12,23 @@
 N_JOBS = 8
 N_WORKERS = 4
 
-#: Jobs and faults come within this time, and what they leave behind is over after the longer one.
+#: Period in which jobs are submitted and faults begin, and duration of the whole simulation.
 #: Unit: seconds.
 FAULTS_S = 9.0
-DAY_S = 25.0
+DURATION_S = 25.0
 STEP_S = 0.02
 
-#: Time after which a cancelling that was not answered is sent again. Unit: seconds.
-CALL_AGAIN_S = 3.0
+#: Delay after which a cancellation without an answer is sent again. Unit: seconds.
+RETRY_S = 3.0
 
-#: Share of the orders that workers leave unanswered and carry out late, and how late in seconds.
+#: Share of the commands that workers execute late and do not answer, and bounds of the delay.
+#: Unit: seconds.
 LATE_SHARE = 0.06
-LATE_S = (2.0, 12.0)
+LATE_RANGE_S = (2.0, 12.0)
 
 
-class DrawnDay:
-    """One cell under the faults that a seed draws.
+class CancellationScenario:
+    """A cell in which jobs are cancelled under random faults drawn from a seed.
 
     Parameters
     ----------
@@ -39,15 +40,15 @@
         self.cell = PlatformCell(n_instances=4, n_workers=N_WORKERS, random_state=seed)
         self.calls = {}
         self.acked_at = {}
-        self.answers_from = {}
+        self.reachable_since = {}
         for worker in self.cell.workers.values():
             worker.draw_delay = self._draw_delay
         self.events = sorted(self._draw_events(), key=lambda event: event[0])
 
     def _draw_delay(self, path):
-        is_order = path in (OrderCall.START, OrderCall.STOP)
-        if is_order and self.random_state.random() < LATE_SHARE:
-            return self.random_state.uniform(*LATE_S)
+        is_command = path in (OrderCall.START, OrderCall.STOP)
+        if is_command and self.random_state.random() < LATE_SHARE:
+            return self.random_state.uniform(*LATE_RANGE_S)
         return None
 
     def _draw_events(self):
@@ -61,120 +62,124 @@
             yield draw(0.0, FAULTS_S), self._remove_leader, None
             worker_id = f"i-{self.random_state.randrange(N_WORKERS)}"
             at = draw(0.0, FAULTS_S - 1.0)
-            yield at, self._darken, worker_id
-            yield at + draw(0.3, 6.0), self._light_up, worker_id
+            yield at, self._silence_worker, worker_id
+            yield at + draw(0.3, 6.0), self._restore_worker, worker_id
             at = draw(0.0, FAULTS_S - 1.0)
-            yield at, self._unlist, worker_id
-            yield at + draw(0.3, 8.0), self._list, worker_id
+            yield at, self._remove_entry, worker_id
+            yield at + draw(0.3, 8.0), self._restore_entry, worker_id
 
     def play(self):
-        """Play the day; return what it broke."""
+        """Run the simulation; return the violations found."""
         cell = self.cell
         cell.start()
         began_at = cell.clock.seconds()
-        for at, act, subject in [*self.events, (DAY_S, lambda _: None, None)]:
+        for at, act, subject in [*self.events, (DURATION_S, lambda _: None, None)]:
             while cell.clock.seconds() - began_at < at:
                 cell.advance(STEP_S)
-                self._follow_cancellings()
+                self._follow_cancellations()
             act(subject)
         assert len(self.acked_at) == N_JOBS
         broken = cell.check()
         for job_id, acked_at in self.acked_at.items():
             broken += find_runs_after_cancelling(
-                cell, acked_at, job_id, answers_from=self.answers_from
+                cell, acked_at, job_id, reachable_since=self.reachable_since
             )
         return broken
 
-    def _follow_cancellings(self):
+    def _follow_cancellations(self):
         now = self.cell.clock.seconds()
         for job_id, (sent_at, answers) in list(self.calls.items()):
             if answers and answers[0][0] == 200:
                 self.acked_at[job_id] = now
                 del self.calls[job_id]
-            elif answers or now - sent_at > CALL_AGAIN_S:
+            elif answers or now - sent_at > RETRY_S:
                 self._cancel(job_id)
 
-    def _instance(self):
+    def _draw_instance(self):
         return self.random_state.choice(list(self.cell.daemons))
 
     def _submit(self, job_id):
         step = {"count": self.random_state.choice([1, 6]), "cpu": 1000}
-        self.cell.submit(self._instance(), job_id, step, spec="40.0 done 1000")
+        self.cell.submit(self._draw_instance(), job_id, step, spec="40.0 done 1000")
 
     def _cancel(self, job_id):
-        answers = self.cell.call(self._instance(), "DELETE", f"/urgent/{job_id}")
+        answers = self.cell.call(self._draw_instance(), "DELETE", f"/urgent/{job_id}")
         self.calls[job_id] = (self.cell.clock.seconds(), answers)
 
     def _remove_leader(self, _):
         if self.cell.leader() in self.cell.daemons:
             self.cell.kill(self.cell.leader())
 
-    def _darken(self, worker_id):
+    def _silence_worker(self, worker_id):
         self.cell.worker_faults[worker_id].silent = True
 
-    def _light_up(self, worker_id):
+    def _restore_worker(self, worker_id):
         self.cell.worker_faults[worker_id].clear()
-        self.answers_from[worker_id] = self.cell.clock.seconds()
+        self.reachable_since[worker_id] = self.cell.clock.seconds()
 
-    def _unlist(self, worker_id):
+    def _remove_entry(self, worker_id):
         self.cell.store.remove("servers", worker_id)
 
-    def _list(self, worker_id):
+    def _restore_entry(self, worker_id):
         self.cell.store.put("servers", worker_id, self.cell.workers[worker_id].entry())
 
 
-class DayWithoutStore(DrawnDay):
-    """The same, with a leader that alone loses the store while it goes on ordering."""
+class StoreLossScenario(CancellationScenario):
+    """Adds a store outage for the leader alone, which goes on sending commands to workers."""
 
     def _draw_events(self):
         yield from super()._draw_events()
         at = self.random_state.uniform(0.0, FAULTS_S - 3.0)
-        yield at, self._take_store_away, self.random_state.choice(["refused", "silent", "reset"])
-        yield at + self.random_state.uniform(0.5, 4.0), self._give_store_back, None
+        yield at, self._block_store, self.random_state.choice(["refused", "silent", "reset"])
+        yield at + self.random_state.uniform(0.5, 4.0), self._restore_store, None
 
     def _submit(self, job_id):
-        # A job that an instance without the store refuses is not there to be cancelled.
+        # An instance that cannot reach the store may refuse the job; then none could be cancelled.
         cut_off = self.cell.store_faults.only or ()
         gateway = next(name for name in self.cell.daemons if name not in cut_off)
         step = {"count": self.random_state.choice([1, 6]), "cpu": 1000}
         self.cell.submit(gateway, job_id, step, spec="40.0 done 1000")
 
-    def _take_store_away(self, how):
+    def _block_store(self, how):
         faults = self.cell.store_faults
         faults.only = {self.cell.leader()}
         faults.status = 503 if how == "refused" else None
         faults.silent = how == "silent"
         faults.refuses = how == "reset"
 
-    def _give_store_back(self, _):
+    def _restore_store(self, _):
         self.cell.store_faults.clear()
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_no_task_runs_twice_where_the_leader_alone_loses_the_store(seed):
-    """A task ran on two workers for 0.29 s, under the leader without the store and the next one."""
-    assert DayWithoutStore(seed=seed).play() == []
+def test_no_task_runs_twice_when_only_the_leader_loses_the_store(seed):
+    """Guards against two concurrent runs of a task, under a leader without the store and the next.
+
+    In one such scenario, a task ran on two workers for 0.29 s.
+    """
+    assert StoreLossScenario(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_cancelled_jobs_end_and_no_task_runs_twice(seed):
-    """Jobs are cancelled while orders are lost, leaders are removed, workers are dark or hidden.
+    """Guards against combinations of faults that the tests of single faults do not cover.
 
-    A task that runs on, or on two workers at once, is a safeguard that the other tests lack.
+    Jobs are cancelled while commands are delayed, leaders are removed, and workers are unreachable
+    or missing from the registry. No task may continue, or run on two workers at once.
     """
-    assert DrawnDay(seed=seed).play() == []
+    assert CancellationScenario(seed=seed).play() == []
 
 
 @pytest.mark.parametrize("seed", [46, 86])
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_drawn_days_on_which_runs_of_ended_jobs_must_not_wait(monkeypatch, safeguard, seed):
-    """Two leaders are removed beside cancelled jobs whose stops went astray; tasks run on too long.
+def test_each_new_leader_stops_runs_of_ended_jobs_at_once(monkeypatch, safeguard, seed):
+    """Guards against runs of cancelled jobs that each new leader lets continue for another 1.5 s.
 
-    Each next leader took the runs for those of jobs that it might yet hear of, and waited 1.5 s
-    anew.
+    Stops are lost and two leaders are removed. Each new leader treated the runs as those of jobs
+    that may still appear in the feed.
     """
     if not safeguard:
         monkeypatch.setattr(
             Scheduler, "_may_appear_in_feed", lambda self, job_id: job_id not in self.jobs
         )
-    assert (DrawnDay(seed=seed).play() == []) is safeguard
+    assert (CancellationScenario(seed=seed).play() == []) is safeguard
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -1,4 +1,7 @@
-"""What callers see when instances and the store fail; each safeguard taken out once."""
+"""Behaviour of the cell when instances and the store fail.
+
+With `safeguard` False, a test disables the safeguard and expects the failure.
+"""
 
 import statistics
 
@@ -21,15 +24,16 @@
 from ._helpers import JOB, STEP, make_cell
 
 
-def new_starts_after(cell, at):
-    """Return the moments of the starts after `at`, counted from it."""
+def start_delays_after(cell, at):
+    """Return the times of the starts after `at`, relative to it."""
     return [span.began_at - at for span in cell.spans if span.began_at > at]
 
 
 def test_killed_leader_is_replaced_within_half_a_second():
-    """The leader is killed under load; another claims, hears the workers and starts what waits.
+    """Guards against a slow take-over when the leader is killed under load.
 
-    Its connections close with it, so nobody has to wait for a silence.
+    Its connections close, so that the other instances need not wait for a timeout. The successor
+    claims, contacts the workers and starts waiting tasks.
     """
     delays = []
     for seed in range(15):
@@ -40,7 +44,7 @@
         cell.kill(cell.leader())
         cell.submit(next(iter(cell.daemons)), "00000000000000a2", STEP)
         cell.advance(8.0)
-        delays.append(min(new_starts_after(cell, killed_at)))
+        delays.append(min(start_delays_after(cell, killed_at)))
         assert cell.check() == []
         assert "lapsed" not in {span.how for span in cell.spans}
         assert cell.state(cell.other(), JOB) == "completed"
@@ -48,8 +52,11 @@
     assert max(delays) < 1.0
 
 
-def test_leader_that_falls_silent_is_replaced_before_leases_lapse():
-    """The leader's machine loses power: connections stay open and say nothing."""
+def test_leader_that_loses_power_is_replaced_before_leases_lapse():
+    """Guards against lapsing leases when the leader's machine loses power.
+
+    Connections stay open without messages, so the failure is only found by a timeout.
+    """
     cell = make_cell(n_instances=4)
     cell.submit("a1", JOB, STEP, spec="6.0 done 1000")
     cell.advance(0.5)
@@ -60,10 +67,11 @@
     assert cell.state(cell.other(), JOB) == "completed"
 
 
-def test_paused_leader_that_wakes_starts_and_records_nothing():
-    """The leader is paused for four seconds; another takes over; then it wakes and goes on.
+def test_paused_leader_that_resumes_starts_and_records_nothing():
+    """The leader is paused for four seconds, another takes over, and the former leader resumes.
 
-    Its row has moved on and the workers have seen a higher token, so it ends at its first write.
+    The leader's row has a newer version and the workers have seen a higher token, so the former
+    leader must stop leading at its first write, without starting or recording anything.
     """
     cell = make_cell(n_instances=4, n_workers=2, cpu=4000)
     former = cell.leader()
@@ -81,10 +89,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_end_is_acknowledged_only_when_it_is_durable(monkeypatch, safeguard):
-    """A task ends while the store is down, and then the leader dies.
+    """A task ends while the store is unavailable, and then the leader is killed.
 
-    The worker still has the end for the next leader. Acknowledged before its record it would be
-    lost with the leader, and the task would run a second time.
+    The worker keeps the end until it is acknowledged and reports it to the next leader. If the end
+    were acknowledged before it was recorded, it would be lost, and the task would run again.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "acknowledged", lambda self, worker: worker.last_ended)
@@ -103,9 +111,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_completed_is_shown_only_when_it_is_durable(monkeypatch, safeguard):
-    """All tasks end while the store is down; a client asks; then everything is killed.
+    """All tasks of a job end while the store is unavailable, and a client requests the job's state.
 
-    What was shown as completed must stay so, and only the store survives.
+    A state shown as completed must stay so even if all processes are killed and only the store
+    survives.
     """
     if not safeguard:
         monkeypatch.setattr(
@@ -124,10 +133,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_refused_job_never_runs(monkeypatch, safeguard):
-    """The store takes a job and its answer is lost, at the entry and again at the leader.
+    """The store writes a job but its answers are lost, at the gateway and then at the leader.
 
-    The entry may not say "not accepted": it answers that it does not know. If it took no answer
-    for a refusal, the task would start although its client was told that it never would.
+    The gateway must answer that the outcome is unknown. If it answered that the job was not
+    accepted, tasks of a refused job would run.
     """
     cell = make_cell(n_instances=3)
     if not safeguard:
@@ -142,8 +151,8 @@
     assert (not refused) is safeguard
 
 
-def test_outage_is_said_at_once_and_with_a_time():
-    """The store is down for all: jobs are refused quickly, with the time at which to come back."""
+def test_jobs_are_refused_at_once_with_a_retry_time_in_an_outage():
+    """The store fails for all instances: jobs are refused at once, with a `Retry-After` header."""
     cell = make_cell(n_instances=3)
     cell.store_faults.status = 503
     cell.advance(1.0)
@@ -157,8 +166,11 @@
     assert cell.spans == []
 
 
-def test_work_goes_on_while_the_store_is_down():
-    """Steps follow each other and leases are renewed; the end is shown when the store is back."""
+def test_scheduling_continues_while_the_store_is_unavailable():
+    """Guards against a store outage of 6 s that stops running jobs.
+
+    The next step starts and leases are renewed; the job is completed once the store has recovered.
+    """
     cell = make_cell(n_instances=3)
     cell.submit("a0", JOB, STEP, {**STEP, "after": [0]}, spec="2.5 done 1000")
     cell.advance(0.5)
@@ -173,9 +185,10 @@
 
 
 def test_late_writes_of_a_former_leader_do_nothing():
-    """Each write of the leader is carried out seconds later, when another leader has gone on.
+    """The store executes each write of a leader 3 s later, when another leader has taken over.
 
-    The row has moved on by then, so that an old record never replaces a newer one.
+    The leader's row has a newer version by then, so that an old record must not replace a newer
+    one.
     """
     cell = make_cell(n_instances=4)
     cell.submit(cell.other(), JOB, STEP, {**STEP, "after": [0]}, spec="1.0 done 1000")
@@ -191,8 +204,8 @@
     assert cell.check() == []
 
 
-def test_leader_that_alone_is_refused_by_the_store_hands_over():
-    """The store serves all but the leader: the leader says so, and another claims."""
+def test_leader_that_alone_is_refused_by_the_store_hands_over_leadership():
+    """The store refuses calls of the leader only: the leader must hand over its leadership."""
     cell = make_cell(n_instances=4)
     former = cell.leader()
     cell.submit(cell.other(), JOB, STEP, spec="4.0 done 1000")
@@ -208,7 +221,7 @@
 
 
 def test_gateway_without_store_accepts_through_the_leader():
-    """One instance is refused by the store: its clients are served all the same."""
+    """The store refuses calls of one gateway: its clients must be served through the leader."""
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.store_faults.status = 503
@@ -219,8 +232,12 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_isolated_instance_leaves_a_living_leader_alone():
-    """An instance is cut off from all others but reaches the store: it must not take turns."""
+def test_isolated_instance_does_not_replace_a_running_leader():
+    """Guards against leadership that alternates between two instances.
+
+    An instance is cut off from all others but reaches the store, where the leader keeps writing its
+    row: the instance must not claim.
+    """
     cell = make_cell(n_instances=4)
     leader, name = cell.leader(), cell.other()
     token = cell.workers["i-0"].token
@@ -234,8 +251,11 @@
     assert cell.state(name, JOB) == "completed"
 
 
-def test_cancel_at_an_instance_that_does_not_reach_the_leader():
-    """The mark is durable, so the 2xx is true; the leader finds it and stops the tasks."""
+def test_cancellation_at_an_instance_that_cannot_reach_the_leader_is_durable():
+    """Guards against a 2xx for a cancellation that is not durable.
+
+    The gateway writes a cancel mark to the store; the leader reads it and stops the tasks.
+    """
     cell = make_cell(n_instances=3)
     name = cell.other()
     cell.submit(cell.leader(), JOB, STEP, spec="30.0 done 1000")
@@ -249,8 +269,11 @@
     assert cell.state(name, JOB) == "cancelled"
 
 
-def test_history_that_is_gone_is_read_anew():
-    """The store drops its history just after a change of the configuration and a new worker."""
+def test_tables_are_read_again_after_the_store_discards_its_history():
+    """The store discards its history after a change of the configuration and a new worker.
+
+    The changes are missing from the feed, so that instances must read the tables in full.
+    """
     from anvilflow.standins import make_platform_config
 
     cell = make_cell(n_instances=2, n_workers=1)
@@ -269,8 +292,8 @@
     assert {span.worker for span in cell.spans} == {"i-0", "i-9"}
 
 
-def test_everything_killed_at_once_goes_on():
-    """All processes are killed right after a job was accepted, and start again."""
+def test_accepted_job_completes_after_all_instances_are_killed():
+    """Guards against losing a job when all instances are killed right after accepting it."""
     cell = make_cell(n_instances=4)
     answers = cell.submit("a0", JOB, STEP, spec="3.0 done 1000")
     cell.advance(0.02)
@@ -287,8 +310,11 @@
     assert len(cell.leaders()) == 1
 
 
-def test_drain_hands_the_leader_over_and_cuts_nothing_off():
-    """SIGTERM at the leader: another takes over at once, calls are answered until the end."""
+def test_drain_hands_leadership_over_and_interrupts_nothing():
+    """The leader drains: another must take over at once.
+
+    The former leader must answer calls until it stops, and running tasks must not be interrupted.
+    """
     cell = make_cell(n_instances=3)
     former = cell.leader()
     cell.submit(former, JOB, STEP, spec="5.0 done 1000")
@@ -305,10 +331,11 @@
     assert {span.how for span in cell.spans} == {"done"}
 
 
-def test_holds_do_not_spin_while_an_end_waits_for_its_record():
-    """The store is down for five seconds after an end: the worker is held a few times a second.
+def test_lease_renewals_do_not_spin_while_an_end_is_unrecorded():
+    """The store is unavailable for five seconds after an end, which stays unacknowledged.
 
-    Answered at once again and again, holds took all of the leader's processor.
+    Workers answer a lease renewal at once while they have such an end. Without a wait between
+    renewals, these took all of the leader's CPU.
     """
     cell = make_cell(n_instances=2, n_workers=1)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.5 done 1000")
@@ -319,20 +346,19 @@
     assert cell.workers["i-0"].n_holds - before < 5.0 / _session.UNRECORDED_S + 10
 
 
-def test_constants_fit_together():
-    """A silent leader is replaced well within a lease, and a lease within the worker's maximum."""
+def test_unresponsive_leader_is_replaced_within_a_lease():
+    """Guards against timeouts that let leases expire before an unresponsive leader is replaced."""
     takeover = _leadership.UNRESPONSIVE_S + _leadership.STILL_S + 0.5
     assert takeover + _session.RENEWAL_WAIT_S < _fleet.LEASE_S
     assert _recorder.HEARTBEAT_S * 2 <= _leadership.STILL_S
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_that_the_next_leader_hears_of_late_is_not_started_again(monkeypatch, safeguard):
-    """A job is accepted while leaders change: the former leader starts it, the next has read
-    the table before.
+def test_job_that_the_next_leader_receives_late_is_not_started_again(monkeypatch, safeguard):
+    """A job is accepted and started by the former leader after its successor has read the table.
 
-    It sees runs of a job that it does not know, and hears of the job a little later. Without taking
-    the runs on it starts the same tasks again.
+    The successor receives runs of an unknown job from the workers, and the job from the feed a
+    little later. Unless it adopts the runs, it starts the same tasks again.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "_adopt_orphan_runs", lambda self, job, now: None)
@@ -359,11 +385,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_job_whose_acceptance_has_no_answer_is_found_by_reading_it_back(monkeypatch, safeguard):
-    """The store takes the job and its answer is lost; its next answer is not.
+def test_job_whose_write_has_no_answer_is_found_by_reading_it_back(monkeypatch, safeguard):
+    """The store writes a job but its answer is lost; its later answers arrive.
 
-    The entry reads the row back and says 200. Without it the client waits longer and, where the
-    leader is away, hears that nobody knows.
+    The gateway must read the row back and answer 200. Otherwise the client waits longer and, if the
+    leader is unavailable, receives an unknown outcome.
     """
     if not safeguard:
         monkeypatch.setattr(
@@ -385,11 +411,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_fault_in_the_leader_part_does_not_leave_the_cell_without_a_leader(monkeypatch, safeguard):
-    """A decision raises at the leader; the supervisor builds the part anew, which knows of nothing.
+def test_failure_of_the_leader_part_is_followed_by_a_new_claim(monkeypatch, safeguard):
+    """The leader part raises an exception, and the supervisor creates a new part without state.
 
-    The instance then looks for the leader and claims again. Unless the part says that it has ended,
-    leadership holds that this instance is the leader, and its clients are never served again.
+    The instance must claim leadership again. Unless the failed part posts that it was deposed, the
+    leadership part still considers this instance the leader, and no job is scheduled any more.
     """
     if not safeguard:
         monkeypatch.setattr(_leader.LeaderPart, "deposed", lambda self: None)
@@ -403,8 +429,8 @@
     assert (cell.state("a0", JOB) == "completed") is safeguard
 
 
-def test_fault_of_the_leader_while_it_stores_a_job_is_no_refusal(monkeypatch):
-    """The leader fails after it may have stored a job: its entry must not call it refused."""
+def test_failure_of_the_leader_while_it_stores_a_job_is_no_refusal(monkeypatch):
+    """The leader fails after it may have stored a job: its gateway must not report a refusal."""
     cell = make_cell(n_instances=2)
     name = cell.other()
     cell.store_faults.status = 503
--- a/anvilflow/cell/tests/test_garbage_collector.py
+++ b/anvilflow/cell/tests/test_garbage_collector.py
@@ -5,7 +5,7 @@
 from anvilflow.cell._garbage_collector import SWEEP_S, GarbageCollector
 from anvilflow.cell._tables import job_part
 
-from ._helpers import JOB, end_and_start_all, make_cell
+from ._helpers import JOB, make_cell, restart_all_instances
 
 #: Size of a payload that makes up most of a job's row. Unit: bytes.
 N_PAYLOAD_BYTES = 3_000
@@ -46,7 +46,7 @@
     cell = _make_cell()
     cell.submit(cell.other(), JOB, STEP, spec="x" * N_PAYLOAD_BYTES)
     cell.advance(2 * SWEEP_S)
-    end_and_start_all(cell)
+    restart_all_instances(cell)
     name = cell.other()
     assert cell.state(name, JOB) == "completed"
     answers = cell.submit(name, JOB, STEP, spec="x" * N_PAYLOAD_BYTES)
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -1,4 +1,4 @@
-"""Answers of workers that are late, all of them or some."""
+"""Late or missing answers of all workers or of some."""
 
 from types import SimpleNamespace
 
@@ -18,65 +18,74 @@
 
 
 def _run_jobs(cell, n_jobs, seconds):
-    """Submit quick jobs, spread over a time."""
+    """Submit short jobs at equal intervals over some seconds."""
     for _ in range(n_jobs):
         job_id = f"{round(1000 * cell.clock.seconds()):016x}"
         cell.submit(cell.other(), job_id, STEP, spec="0.3 done 500")
         cell.advance(seconds / n_jobs)
 
 
-def _silent_workers(cell):
+def _unreachable_workers(cell):
     scheduler = cell.daemons[cell.leader()].supervisor.part("home")._scheduler
     return [name for name, worker in scheduler.workers.items() if worker.unreachable]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_workers_that_are_all_late_are_not_silent(monkeypatch, safeguard):
-    """Answers of all workers begin to come late: taken for silent, none of them got any work."""
+def test_workers_that_are_all_late_are_not_unreachable(monkeypatch, safeguard):
+    """Guards against marking all workers unreachable when the answers of all of them become late.
+
+    Unreachable workers receive no work.
+    """
     if not safeguard:
         monkeypatch.setattr(_fleet, "LATE_UNRESPONSIVE_S", 0.0)
     cell = make_cell(n_workers=12)
     _run_jobs(cell, 20, 1.0)
     for faults in cell.worker_faults.values():
         faults.slow_s = 0.6
-    silent = set()
+    unreachable = set()
     for _ in range(25):
         _run_jobs(cell, 2, 0.1)
-        silent.update(_silent_workers(cell))
-    assert (not silent) is safeguard
+        unreachable.update(_unreachable_workers(cell))
+    assert (not unreachable) is safeguard
+
 
+def test_single_worker_without_answers_is_unreachable():
+    """Guards against the tolerance for late answers delaying the detection of a lost worker.
 
-def test_worker_that_does_not_answer_is_silent_while_the_others_do():
-    """Patience with late answers must not keep a lost worker's tasks from starting elsewhere."""
+    Its tasks would start elsewhere too late.
+    """
     cell = make_cell(n_workers=12)
     _run_jobs(cell, 20, 1.0)
     cell.worker_faults["i-0"].silent = True
     _run_jobs(cell, 20, 1.6)
-    assert _silent_workers(cell) == ["i-0"]
+    assert _unreachable_workers(cell) == ["i-0"]
 
 
-def test_leader_that_no_worker_answers_sees_them_all_silent_in_time():
-    """Cut off from all of them, it must not go on as if their answers were only late."""
+def test_all_workers_without_answers_are_unreachable_in_time():
+    """Guards against a leader, cut off from all workers, that treats their answers as only late."""
     cell = make_cell(n_workers=6)
     _run_jobs(cell, 10, 1.0)
     for faults in cell.worker_faults.values():
         faults.silent = True
     cell.advance(_fleet.LATE_UNRESPONSIVE_S + 2.5)
-    assert len(_silent_workers(cell)) == 6
+    assert len(_unreachable_workers(cell)) == 6
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_starts_without_an_answer_share_one_budget_of_retries(monkeypatch, safeguard):
-    """Each start was sent four times: an overload that loses answers grew fourfold."""
+def test_unanswered_starts_share_one_retry_budget(monkeypatch, safeguard):
+    """Guards against retries that amplify an overload.
+
+    When no start was answered, each was sent four times, which increased the load fourfold.
+    """
     retries = []
     may_retry = _fleet.Fleet.may_retry
 
-    def counted(self):
+    def count_retry(self):
         granted = may_retry(self) or not safeguard
         retries.append(granted)
         return granted
 
-    monkeypatch.setattr(_fleet.Fleet, "may_retry", counted)
+    monkeypatch.setattr(_fleet.Fleet, "may_retry", count_retry)
     cell = make_cell(n_workers=24, cpu=64_000)
     for worker in cell.workers.values():
         worker.draw_delay = lambda path: 30.0 if path == OrderCall.START else None
@@ -87,8 +96,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_stops_without_an_answer_are_sent_less_and_less_often(monkeypatch, safeguard):
-    """Hundreds of stops, each sent four times a second, kept a full link full by themselves."""
+def test_unanswered_stops_are_repeated_with_increasing_delays(monkeypatch, safeguard):
+    """Guards against repeated stops that keep a link saturated.
+
+    Hundreds of stops without an answer, each sent four times per second, were enough to do so.
+    """
     if not safeguard:
         monkeypatch.setattr(_session, "MAX_AGAIN_S", _session.AGAIN_S)
     clock = Clock()
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -1,14 +1,14 @@
-"""A leader with too little processor for a burst.
+"""A leader with too little CPU for a burst of jobs.
 
-A burst of quick jobs reaches a leader with an eighth of a core. It does all that it is asked to,
-but late: its heartbeats come after half a second, answers of workers wait to be read. The others
-took it for dead, and its successor had to read all tables and hear all workers on top of the same
-burst; that one was taken for dead a second later, and so on until the end of the day.
+A burst of short jobs reaches a leader with an eighth of a core. The leader does all its work, but
+late: heartbeats come after half a second, and answers of workers wait to be read. The other
+instances considered the leader failed. Its successor had to read all tables and contact all workers
+during the same burst, and was considered failed a second later, and so on until the end of the run.
 
-Evidence. The log of a quiet day at a sixth of its size, with eight times less processor: the leader
-stood from 12.9 s before the first job until the first burst; from 4 s on the others log "home
-writes but is not reached", at 8.3 s one claims with "home does not write" and is replaced 0.2 s
-after it began. 130 jobs were lost; without a limit of processor none was.
+This occurred in a run of a low-load scenario at a sixth of its size, with an eighth of its CPU. The
+leader was stable from 12.9 s before the first job until the first burst. From 4 s on, the other
+instances logged "home writes but is not reached". At 8.3 s, one claimed with "home does not write"
+and was replaced 0.2 s after its term began. 130 jobs were lost; without the CPU limit, none was.
 """
 
 import pytest
@@ -20,34 +20,38 @@
 
 from ._helpers import make_cell
 
-#: Processor time of each call that an instance makes, timers included. Unit: seconds.
-CALL_S = 0.012
+#: CPU time of each call in an instance, including timers. Unit: seconds.
+CALL_CPU_S = 0.012
 
-#: Jobs of the burst, and the pause between two of them. Unit: seconds.
+#: Number of jobs in the burst, and the interval between them. Unit: seconds.
 N_JOBS = 60
-PAUSE_S = 0.05
+INTERVAL_S = 0.05
 
 
 def _play_burst(cell, call_s=None):
-    """Let a burst of quick jobs come, and what is left of it end; return their ids.
+    """Submit a burst of short jobs, wait for their ends, and return their ids.
 
-    `call_s` names the instances whose calls take another time. Unit: seconds.
+    `call_s` holds the CPU time of a call by instance, where it differs from :data:`CALL_CPU_S`.
+    Unit: seconds.
     """
     for name, clock in cell.clocks.items():
-        clock.call_s = (call_s or {}).get(name, CALL_S)
+        clock.call_s = (call_s or {}).get(name, CALL_CPU_S)
     names = list(cell.daemons)
     job_ids = [f"{number:016x}" for number in range(N_JOBS)]
     for number, job_id in enumerate(job_ids):
         step = {"count": 4, "cpu": 500, "estimate-ms": 500}
         cell.submit(names[number % len(names)], job_id, step, spec="0.5 done 500")
-        cell.advance(PAUSE_S)
+        cell.advance(INTERVAL_S)
     cell.advance(8.0)
     return job_ids
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_late_is_waited_for(monkeypatch, safeguard):
-    """It tells how late it is, and the others wait for so much longer."""
+def test_leader_that_is_short_of_cpu_is_not_replaced(monkeypatch, safeguard):
+    """Guards against replacing a leader that is short of CPU but running.
+
+    The leader reports its lag, and the other instances extend their timeouts by a multiple of it.
+    """
     if not safeguard:
         monkeypatch.setattr(_leadership, "LAG_TIMES", 0)
     cell = make_cell(n_instances=5, n_workers=12)
@@ -61,8 +65,11 @@
     assert cell.check() == []
 
 
-def test_lag_is_the_lateness_of_a_periodic_call_and_is_forgotten():
-    """A call comes 0.4 s late, once: two seconds later the process is not short any more."""
+def test_lag_is_the_delay_of_a_periodic_call_and_decays():
+    """Guards against a process that counts as short of CPU long after a single late call.
+
+    A call comes 0.4 s late; two seconds later the process must not be short of CPU any more.
+    """
     lag = LagMeter(period=0.2)
     lag.called(0.0)
     lag.called(0.2)
@@ -76,7 +83,7 @@
 
 
 def test_lag_of_a_process_that_was_paused_is_bounded():
-    """A machine was suspended for a minute: nobody waits a minute for its leader afterwards."""
+    """Guards against waiting a minute for a leader whose machine was suspended for a minute."""
     lag = LagMeter(period=0.2)
     lag.called(0.0)
     lag.called(60.0)
@@ -84,11 +91,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_answer_that_is_there_is_read_before_its_time_is_over(monkeypatch, safeguard):
-    """The process was busy; when it comes to it, the timer and the answer are both there.
+def test_answer_that_has_arrived_is_read_before_the_timeout(monkeypatch, safeguard):
+    """A process is busy until both the timeout and the answer of a call are due.
 
-    Timers come first. Given up unread, a start was sent again and its run stopped as unanswered,
-    which took more of the processor that was missing.
+    Timers run first. If the answer were discarded unread, a start would be retried and its run
+    stopped as unanswered, which costs more of the CPU that is short.
     """
     if not safeguard:
         monkeypatch.setattr(TimeLimit, "_end", TimeLimit._give_up)
@@ -101,8 +108,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_leader_that_is_late_does_not_take_the_store_for_away(monkeypatch, safeguard):
-    """Answers of the store wait for their turn to be read, and the leader offered its place."""
+def test_leader_that_is_short_of_cpu_does_not_yield_for_slow_answers(monkeypatch, safeguard):
+    """Guards against a leader short of CPU that considers the store unavailable and yields.
+
+    Answers of the store have arrived but wait to be read.
+    """
     if not safeguard:
         monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
     monkeypatch.setattr(LagMeter, "called", lambda self, now: setattr(self, "lag_s", 0.6))
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -21,7 +21,7 @@
 from anvilflow.standins import _slow_link
 from anvilflow.standins._platform_cell import EPOCH_S
 
-from ._helpers import end_and_start_all, make_cell
+from ._helpers import make_cell, restart_all_instances
 
 #: A link of 2 Mbit/s. Unit: bytes a second.
 SLOW = 250_000
@@ -121,7 +121,7 @@
     leaders = set()
     for random_state in range(5):
         cell = make_cell(n_instances=8, slow=slow, random_state=random_state)
-        end_and_start_all(cell)
+        restart_all_instances(cell)
         leaders.add(cell.leader())
     assert leaders.isdisjoint(slow) is safeguard
 
--- a/anvilflow/cell/tests/test_strength.py
+++ b/anvilflow/cell/tests/test_strength.py
@@ -12,8 +12,8 @@
 from anvilflow.cell._leader_eligibility import rank_candidates, reported_cpu_milli
 from anvilflow.peers.gen.ttypes import Hello
 
-from ._helpers import end_and_start_all, make_cell
-from .test_short_of_processor import CALL_S, _play_burst
+from ._helpers import make_cell, restart_all_instances
+from .test_short_of_processor import CALL_CPU_S, _play_burst
 
 WEAK = ("a0", "a1", "a2", "a3", "a5")
 
@@ -92,7 +92,7 @@
     leaders = set()
     for random_state in range(4):
         cell = make_cell(n_instances=6, weak=WEAK, random_state=random_state)
-        end_and_start_all(cell)
+        restart_all_instances(cell)
         leaders.add(cell.leader())
     assert (leaders == {"a4"}) is safeguard
 
@@ -110,7 +110,7 @@
     assert cell.leader() in WEAK
     cell.start_instance("a4")
     cell.advance(_leader_heartbeat.MIN_LEADERSHIP_S)
-    job_ids = _play_burst(cell, call_s={"a4": CALL_S / 8})
+    job_ids = _play_burst(cell, call_s={"a4": CALL_CPU_S / 8})
     assert (cell.leader() == "a4") is safeguard
     done = {span.task.split(".")[0] for span in cell.spans if span.how == "done"}
     assert done == set(job_ids)
--- a/anvilflow/cell/tests/test_whole_path.py
+++ b/anvilflow/cell/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""A job from its acceptance to its final state, over the platform's protocol."""
+"""Jobs from acceptance to final state, over the platform's protocol."""
 
 import pytest
 
@@ -8,8 +8,8 @@
 from ._helpers import JOB, make_cell
 
 
-def test_job_is_accepted_run_and_shown():
-    """A client hands in two steps; the second begins when the first is done; then it is shown."""
+def test_job_is_accepted_and_completed():
+    """Guards against delayed starts, and against a step that starts before its predecessor ends."""
     cell = make_cell()
     steps = [{"count": 4, "cpu": 1000}, {"count": 3, "cpu": 1000, "after": [0]}]
     answers = cell.submit(cell.other(), JOB, *steps)
@@ -23,8 +23,11 @@
     assert cell.check() == []
 
 
-def test_same_job_again_is_one_job():
-    """The 2xx got lost, so the client sends the job again, at another instance, even at its end."""
+def test_repeated_submission_of_a_job_runs_it_once():
+    """A client submits a job repeatedly, at different instances, as if each 2xx had been lost.
+
+    The tasks must run once, also if the job has ended before the last submission.
+    """
     cell = make_cell()
     for instance in ("a0", "a1", "a2"):
         answers = cell.submit(instance, JOB, {"count": 2, "cpu": 1000})
@@ -38,7 +41,7 @@
 
 
 def test_cancelled_job_stops_and_stays_cancelled():
-    """A client cancels a running job; its tasks are stopped and nothing starts again."""
+    """Guards against tasks of a cancelled job that keep running or are started again."""
     cell = make_cell()
     cell.submit("a0", JOB, {"count": 2, "cpu": 1000}, spec="30.0 done 1000")
     cell.advance(0.5)
@@ -51,8 +54,8 @@
 
 
 @pytest.mark.parametrize("attempts", [1, 3])
-def test_task_that_fails_is_tried_as_often_as_allowed(attempts):
-    """A job that can never be done: after the allowed attempts it is shown as failed."""
+def test_task_that_fails_has_the_allowed_number_of_attempts(attempts):
+    """Guards against a wrong number of attempts of a task that always fails, or on one worker."""
     cell = make_cell(config=make_platform_config(attempts=attempts))
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.2 failed 1000")
     cell.advance(15.0)
@@ -61,8 +64,8 @@
     assert len({span.worker for span in cell.spans}) == min(attempts, 4)
 
 
-def test_tasks_wait_for_room():
-    """Twice what the workers hold: the rest begins when the first tasks end, never before."""
+def test_tasks_wait_for_free_capacity():
+    """Guards against exceeding the capacity of workers when tasks need twice as much."""
     cell = make_cell(n_workers=2, cpu=4000)
     cell.submit("a0", JOB, {"count": 16, "cpu": 1000}, spec="1.0 done 1000")
     cell.advance(0.5)
@@ -74,7 +77,7 @@
 
 
 def test_urgent_queue_goes_first():
-    """A bulk job fills the workers and has more waiting; an urgent one gets the next places."""
+    """Guards against urgent tasks that wait behind waiting tasks of a bulk job."""
     cell = make_cell(n_workers=1, cpu=4000)
     cell.submit("a0", JOB, {"count": 12, "cpu": 1000}, queue="bulk", spec="1.0 done 1000")
     cell.advance(0.3)
@@ -85,11 +88,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_urgent_task_finds_room_on_workers_full_of_bulk_work(safeguard):
-    """Bulk tasks of five seconds want every core; then a describer sends a quick check.
+def test_urgent_task_starts_at_once_on_workers_full_of_bulk_tasks(safeguard):
+    """Bulk tasks of five seconds demand all cores; then a client submits a short urgent job.
 
-    A tenth of each worker is left to the urgent queue. Without it the check waits for the end of a
-    bulk task, five seconds.
+    A tenth of each worker is reserved for the urgent queue. Without the reserve, the urgent tasks
+    wait five seconds for the end of a bulk task.
     """
     policy = SchedulingPolicy() if safeguard else SchedulingPolicy(reserve_share=0.0)
     cell = make_cell(n_workers=2, cpu=10_000, policy=policy)
@@ -99,12 +102,12 @@
     cell.submit("a1", "00000000000000a2", {"count": 2, "cpu": 1000}, spec="0.5 done 1000")
     cell.advance(4.5)
     urgent = [span for span in cell.spans if span.task.startswith("00000000000000a2")]
-    waits = [span.began_at - requested_at for span in urgent]
-    assert (len(waits) == 2 and max(waits) < 0.05) is safeguard
+    delays = [span.began_at - requested_at for span in urgent]
+    assert (len(delays) == 2 and max(delays) < 0.05) is safeguard
 
 
 def test_gang_starts_whole_or_not_at_all():
-    """A gang needs four places; three are free, then a fourth: all members begin together."""
+    """Guards against starting a part of a gang: it needs four cores while only three are free."""
     cell = make_cell(n_workers=1, cpu=4000)
     cell.submit("a0", "00000000000000a2", {"count": 1, "cpu": 1000}, spec="2.0 done 1000")
     cell.advance(0.2)
@@ -119,8 +122,12 @@
     assert cell.state("a0", JOB) == "completed"
 
 
-def test_only_allowed_workers_get_tasks_and_asks_are_spread():
-    """Two of four workers are allowed; each start has a ticket, and others ask for the leader."""
+def test_only_allowed_workers_get_tasks_and_advice_requests_are_distributed():
+    """Guards against starts on workers that the advice service does not allow.
+
+    Two of four workers are allowed; each start has an advice ticket. All instances must make advice
+    requests for the leader.
+    """
     advice = AdviceServer(clock=None, allowed={"i-1", "i-2"}, base_s=0.1)
     rules = {"decide-ms": 100, "each-ms": 1, "valid-ms": 2500}
     cell = make_cell(advice=advice, config=make_platform_config(advice=rules))
@@ -136,8 +143,8 @@
     }
 
 
-def test_limits_on_placement():
-    """A label, the rack of the data, and at most one task of the step on a worker."""
+def test_placement_constraints():
+    """Guards against ignoring a required label, the rack of the data, or anti-affinity."""
     cell = make_cell(n_workers=4)
     cell.submit("a0", "00000000000000c1", {"count": 2, "cpu": 1000, "requires": "r1"})
     cell.submit("a0", "00000000000000c2", {"count": 2, "cpu": 1000, "data-rack": "r0"})
@@ -149,13 +156,13 @@
         for job in ("00000000000000c1", "00000000000000c2")
     }
     assert racks == {"00000000000000c1": ["r1"] * 2, "00000000000000c2": ["r0"] * 2}
-    handover = [span.worker for span in cell.spans if span.task.startswith("00000000000000c3")]
-    assert len(handover) == len(set(handover)) == 4
+    worker_ids = [span.worker for span in cell.spans if span.task.startswith("00000000000000c3")]
+    assert len(worker_ids) == len(set(worker_ids)) == 4
     assert cell.state("a0", "00000000000000c4") == "queued"
 
 
 def test_occurrences_begin_at_their_times():
-    """A job that is repeated three times, a second apart, the first a second from now."""
+    """Guards against early or late occurrences: three, a second apart, the first after a second."""
     cell = make_cell()
     now_ms = 1_700_000_000_000 + cell.clock.seconds() * 1000
     times = {"repeat-count": 3, "first-ms": now_ms + 1000, "interval-ms": 1000}
@@ -167,8 +174,8 @@
     assert cell.state("a0", JOB) == "completed"
 
 
-def test_long_running_tasks_are_started_again_however_they_end():
-    """A task that lasts ends done, then fails: each time it is started again at once."""
+def test_long_running_tasks_are_started_again_after_a_failure():
+    """Guards against a long-running job that ends when its task fails."""
     cell = make_cell()
     step = {"count": 1, "cpu": 1000, "long-running": True}
     cell.submit("a0", JOB, step, spec="1.0 failed 1000")
@@ -192,8 +199,8 @@
         ("/urgent/00000000000000a1", "DELETE", b"", 410, "AF304"),
     ],
 )
-def test_bad_calls_get_a_coded_error(path, method, body, status, code):
-    """What a client got wrong is said with a code, and nothing is stored."""
+def test_invalid_calls_get_an_error_code(path, method, body, status, code):
+    """Guards against invalid requests without an error code, or whose jobs are stored."""
     cell = make_cell(n_workers=1)
     answers = cell.call("a0", method, path, body)
     cell.advance(1.0)
@@ -202,8 +209,8 @@
     assert not [key for key in cell.store.rows if key[0] == "jobs"]
 
 
-def test_pending_counts_jobs_of_which_nothing_has_begun():
-    """One job runs and two wait for room."""
+def test_pending_counts_jobs_without_a_started_task():
+    """Guards against counting a running job: one runs and two wait for capacity."""
     cell = make_cell(n_workers=1, cpu=1000)
     for number in range(3):
         job_id = f"00000000000000d{number}"
@@ -214,8 +221,11 @@
     assert answers[0][:2] == (200, {"pending": 2})
 
 
-def test_configuration_is_in_force_everywhere_and_never_goes_back():
-    """The operator adds a queue; each instance serves it soon; an older version changes nothing."""
+def test_configuration_applies_to_all_instances_and_is_never_reverted():
+    """Guards against an older version of the configuration that replaces a newer one.
+
+    The operator replaces the queues, and each instance serves the new one within 0.5 s.
+    """
     cell = make_cell()
     queues = [{"name": "new", "prefix": "/new/"}]
     cell.store.put("op", "config", make_platform_config(5, queues=queues))
@@ -224,17 +234,17 @@
     cell.advance(0.5)
     for name in cell.daemons:
         answers = cell.call(name, "GET", "/new/")
-        gone = cell.call(name, "GET", "/urgent/")
+        removed = cell.call(name, "GET", "/urgent/")
         cell.advance(0.1)
-        assert (answers[0][0], gone[0][0]) == (200, 404)
+        assert (answers[0][0], removed[0][0]) == (200, 404)
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_quick_work_does_not_wait_behind_long_asks_for_advice(safeguard):
-    """Many heavy jobs ask for advice of 0.8 s each; then a quick lookup asks for one of 0.05 s.
+def test_short_advice_requests_do_not_wait_behind_long_ones(safeguard):
+    """Ten bulk jobs need advice requests of 0.8 s each; then a short job needs one of 0.05 s.
 
-    Some instances are kept free of long asks. Without that every instance is busy with two, and
-    the lookup's answer waits behind them.
+    Some instances are kept free of long requests. Otherwise each instance has two in progress, and
+    the short request waits behind them.
     """
     policy = SchedulingPolicy() if safeguard else SchedulingPolicy(long_ask_share=2.0)
     rules = {"each-ms": 1, "valid-ms": 2500}
@@ -257,8 +267,8 @@
     assert (span.began_at - requested_at < 0.15) is safeguard
 
 
-def test_rows_of_ended_jobs_are_removed_after_their_time():
-    """States are kept for two minutes; then nothing of a job is left in the store."""
+def test_rows_of_ended_jobs_are_removed_after_the_retention_time():
+    """Guards against rows that stay in the store, or are removed within two minutes of the end."""
     cell = make_cell(n_workers=1)
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.2 done 1000")
     cell.advance(100.0)
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -1,4 +1,7 @@
-"""What callers see when workers fail or orders go astray; each safeguard taken out once."""
+"""Behaviour of the cell when workers fail or commands are lost or delayed.
+
+With `safeguard` False, a test disables the safeguard and expects the failure.
+"""
 
 import pytest
 
@@ -12,10 +15,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_commands_of_a_former_leader_that_arrive_late_do_nothing(monkeypatch, safeguard):
-    """The leader's starts are on their way when it dies; another leader starts the tasks elsewhere.
+    """The leader is killed while its starts are in transit, and the next leader starts the tasks.
 
-    Then the old orders arrive. They carry the former leader's token, and the worker has seen a
-    higher one. Were the tokens of both leaders alike, the tasks would run twice.
+    The starts then arrive with the former leader's token, after the worker has seen a higher one.
+    If both leaders had the same token, the tasks would run twice.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
@@ -34,11 +37,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_an_unheard_worker_is_not_started_elsewhere(monkeypatch, safeguard):
-    """The leader dies while a worker is cut off and runs on: nobody can say what runs there.
+def test_task_on_an_unconfirmed_worker_is_not_started_elsewhere(monkeypatch, safeguard):
+    """The leader is killed while a worker is unreachable but running.
 
-    The next leader waits until every lease that was sent has surely ended. Without the wait it
-    starts the tasks a second time while they still run.
+    The next leader cannot list the runs there, and must wait until every lease that was sent has
+    certainly expired. Otherwise it starts the tasks again while they still run.
     """
     if not safeguard:
         monkeypatch.setattr(Scheduler, "may_start", lambda self, job, now: True)
@@ -53,11 +56,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_unanswered_start_is_barred_before_it_is_made_elsewhere(monkeypatch, safeguard):
-    """A worker carries a start out two seconds late and does not answer.
+def test_unanswered_start_is_stopped_before_the_task_starts_elsewhere(monkeypatch, safeguard):
+    """A worker executes a start two seconds late and does not answer.
 
-    The run is stopped first, which bars it. Without that it would begin while the task already
-    runs on another worker.
+    The leader must first stop the run, so that the worker refuses the late start. Otherwise the run
+    would begin while the task already runs on another worker.
     """
     if not safeguard:
         original = Scheduler.start_answered
@@ -77,8 +80,12 @@
         assert cell.state("a0", JOB) == "completed"
 
 
-def test_new_life_at_an_old_address_gets_no_commands_of_the_old_one():
-    """A worker crashes and starts again under another id: what ran there starts elsewhere."""
+def test_new_incarnation_of_a_worker_gets_no_commands_of_the_former_one():
+    """Guards against sending commands of a crashed worker to its next incarnation.
+
+    A worker crashes and starts again at the same address with another id. Its tasks must be started
+    again.
+    """
     cell = make_cell(n_instances=2, n_workers=2)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="5.0 done 9000")
     cell.advance(1.0)
@@ -92,7 +99,7 @@
 
 
 def test_draining_worker_gets_no_new_work():
-    """A worker says that it drains: from then on tasks start elsewhere."""
+    """Guards against starting tasks on a worker whose registry entry says that it drains."""
     cell = make_cell(n_instances=2, n_workers=2)
     cell.store.put("servers", "i-0", cell.workers["i-0"].entry(state="draining"))
     cell.advance(0.2)
@@ -103,10 +110,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_tasks_of_a_lost_worker_start_elsewhere_after_their_lease(monkeypatch, safeguard):
-    """A worker vanishes for good while its entry stays: its tasks start elsewhere in 4 s.
+    """A worker is lost for good but its registry entry stays: its tasks start elsewhere in 4 s.
 
-    Holds go on without a lease. With one, each try would have moved the end of the wait, and the
-    tasks would have waited for ever.
+    The leader keeps calling the worker without renewing its leases. If each attempt could renew
+    them, the time at which they have expired would never come, and the tasks would wait forever.
     """
     if not safeguard:
         monkeypatch.setattr(_fleet.Fleet, "is_unreachable", lambda self, worker_id: False)
@@ -120,11 +127,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_gang_survives_a_start_whose_answer_is_lost(monkeypatch, safeguard):
-    """A worker starts one member of a gang; its answer is lost, and those to holds for a while.
+def test_gang_continues_after_the_answer_to_a_start_is_lost(monkeypatch, safeguard):
+    """A worker starts a member of a gang, but its answers to this and to lease renewals are lost.
 
-    The same start is sent again, and the worker says that it has the run. Stopped instead, as here
-    without the second try, the member breaks the whole gang on a real worker.
+    The start is retried, and the worker answers that it has the run. Without the retry, the member
+    is stopped, which ends the whole gang on a real worker.
     """
     if not safeguard:
         monkeypatch.setattr(_session, "START_TIMEOUTS_S", (0.3,))
@@ -140,11 +147,11 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_run_that_ended_before_its_start_was_sent_again_is_not_made_twice(monkeypatch, safeguard):
-    """A worker runs a short task; the answers to its start and to holds are lost for a while.
+def test_run_that_ended_before_its_start_was_retried_is_not_repeated(monkeypatch, safeguard):
+    """A worker runs a short task, but its answers to the start and to lease renewals are lost.
 
-    The start is sent again, and the worker refuses it as old, since the run has ended. The end is
-    still to be told; taken for "not run", the task was started on another worker.
+    The start is retried, and the worker refuses it as old because the run has ended; it has yet to
+    report the end. When the refusal was taken for "not run", the task ran on another worker too.
     """
     if not safeguard:
         monkeypatch.setattr(_session, "outcome_after_silence", lambda outcome: outcome)
@@ -164,19 +171,19 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_task_on_a_worker_that_stays_longer_than_it_said_is_not_started_elsewhere(
+def test_task_on_a_worker_that_stays_longer_than_announced_is_not_started_elsewhere(
     monkeypatch, safeguard
 ):
-    """A worker drains and stays seconds longer than the least time that it gave.
+    """A worker drains and stays seconds longer than the minimum time that it announced.
 
-    It does not reach the store, so that its entry lapses; its tasks run on under their leases. Then
-    its answers are lost for a second. The leader took it for gone and started the tasks elsewhere.
-    Evidence: the platform's page calls the time a minimum, and entries lapse while the store is
-    down.
+    The worker cannot reach the store, so its entry expires; its tasks continue under their leases.
+    Then its answers are lost for a second, and the leader assumed that the worker had left and
+    started the tasks elsewhere. The platform documents the announced time as a minimum, and entries
+    expire while the store is unavailable.
     """
     if not safeguard:
         monkeypatch.setattr(Worker, "has_left", _has_left_or_lost_an_answer)
-    cell, worker = _make_cell_with_a_worker_whose_time_is_over()
+    cell, worker = _make_cell_with_worker_past_its_announced_time()
     cell.store.remove("servers", worker.worker_id)
     cell.advance(0.2)
     cell.worker_faults[worker.worker_id].loses_answers = True
@@ -187,10 +194,14 @@
     assert cell.state("a0", JOB) == "completed"
 
 
-def test_tasks_of_a_worker_that_left_when_it_said_so_are_started_elsewhere_at_once():
-    """A worker leaves at its time: its entry is removed and nobody listens at its address."""
-    cell, worker = _make_cell_with_a_worker_whose_time_is_over()
-    # The hold that is under way ends with the worker, without an answer.
+def test_tasks_of_a_worker_that_left_as_announced_start_elsewhere_at_once():
+    """Guards against waiting for the leases of a worker that has certainly left.
+
+    The worker leaves at the announced time: its entry is removed and connections to its address are
+    refused.
+    """
+    cell, worker = _make_cell_with_worker_past_its_announced_time()
+    # The lease renewal in progress ends with the worker, without an answer.
     cell.worker_faults[worker.worker_id].loses_answers = True
     cell.advance(0.6)
     worker.crash()
@@ -202,7 +213,7 @@
     assert again.worker != worker.worker_id
 
 
-def _make_cell_with_a_worker_whose_time_is_over():
+def _make_cell_with_worker_past_its_announced_time():
     cell = make_cell(n_instances=3, n_workers=3)
     cell.submit("a0", JOB, {"count": 2, "cpu": 9000}, spec="6.0 done 9000")
     cell.advance(1.0)
@@ -219,13 +230,12 @@
     )
 
 
-def test_worker_that_was_forgotten_and_comes_back_is_held_once():
-    """A worker is cut off for 3.4 s and its entry lapses: its leases have ended, and it is
-    forgotten.
+def test_worker_that_was_dropped_and_registers_again_has_one_session():
+    """A worker is cut off for 3.4 s and its entry expires; its leases end and the leader drops it.
 
-    It answers again, and a moment later it is registered. The session of before went on beside the
-    new one: twice as many holds, and nobody would have ended it with its leader. It would have made
-    the instance give up a later term, for the worker refuses the old token then.
+    The worker becomes reachable and registers soon after. The former session continued beside the
+    new one, with twice as many lease renewals, and would not have been closed with its leader. Its
+    old token, refused by the worker, would have ended a later term of the same instance.
     """
     cell = make_cell(n_instances=3, n_workers=3)
     cell.advance(1.0)
@@ -244,14 +254,14 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_worker_that_comes_back_after_its_lease_is_held_once(monkeypatch, safeguard):
-    """A worker is dark and its entry lapses; it answers again before it is given up, and registers.
+def test_worker_that_is_reachable_again_after_its_lease_has_one_session(monkeypatch, safeguard):
+    """A worker is unreachable, loses its entry, answers before its session ends, and registers.
 
-    The leader had forgotten the worker with its lease, and the session went on: it renewed leases,
-    and what the worker listed was not heard by anybody. Registered again, the worker had two.
+    The leader had dropped the worker when its lease expired, but the session continued: it renewed
+    leases, and the worker's reports were ignored. Once registered, the worker had two sessions.
     """
     if not safeguard:
-        monkeypatch.setattr(Scheduler, "drop_lapsed_runs", _forget_workers)
+        monkeypatch.setattr(Scheduler, "drop_lapsed_runs", _drop_workers)
     cell = make_cell(n_instances=2, n_workers=3)
     cell.advance(1.0)
     cell.worker_faults["i-0"].silent = True
@@ -269,7 +279,7 @@
     assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.RENEWAL_WAIT_S
 
 
-def _forget_workers(self, now):
+def _drop_workers(self, now):
     for worker in list(self.workers.values()):
         if now >= worker.lease_over_at and not worker.listed:
             del self.workers[worker.info.worker_id]
