--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -92,6 +92,7 @@
 
 
 def _chain(n_steps):
+    """Return steps each of which follows the previous one."""
     steps = [{"count": 2, "cpu": 500, "after": [number - 1]} for number in range(n_steps)]
     steps[0]["after"] = []
     return steps
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -134,7 +134,7 @@
         yield at + self.random_state.uniform(0.5, 4.0), self._restore_store, None
 
     def _submit(self, job_id):
-        # An instance that cannot reach the store may refuse the job; then none could be cancelled.
+        # An instance that cannot reach the store may refuse the job, which could not be cancelled.
         cut_off = self.cell.store_faults.only or ()
         gateway = next(name for name in self.cell.daemons if name not in cut_off)
         step = {"count": self.random_state.choice([1, 6]), "cpu": 1000}
@@ -153,7 +153,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_no_task_runs_twice_when_only_the_leader_loses_the_store(seed):
-    """Guards against two concurrent runs of a task, under a leader without the store and the next.
+    """Guards against concurrent runs of a task under a leader without the store and its successor.
 
     In one such scenario, a task ran on two workers for 0.29 s.
     """
@@ -175,7 +175,7 @@
 def test_each_new_leader_stops_runs_of_ended_jobs_at_once(monkeypatch, safeguard, seed):
     """Guards against runs of cancelled jobs that each new leader lets continue for another 1.5 s.
 
-    Stops are lost and two leaders are removed. Each new leader treated the runs as those of jobs
+    Stops are delayed and two leaders are removed. Each new leader treated the runs as those of jobs
     that may still appear in the feed.
     """
     if not safeguard:
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -24,7 +24,7 @@
 from ._helpers import JOB, STEP, make_cell
 
 
-def start_delays_after(cell, at):
+def start_times_after(cell, at):
     """Return the times of the starts after `at`, relative to it."""
     return [span.began_at - at for span in cell.spans if span.began_at > at]
 
@@ -44,7 +44,7 @@
         cell.kill(cell.leader())
         cell.submit(next(iter(cell.daemons)), "00000000000000a2", STEP)
         cell.advance(8.0)
-        delays.append(min(start_delays_after(cell, killed_at)))
+        delays.append(min(start_times_after(cell, killed_at)))
         assert cell.check() == []
         assert "lapsed" not in {span.how for span in cell.spans}
         assert cell.state(cell.other(), JOB) == "completed"
@@ -152,7 +152,7 @@
 
 
 def test_jobs_are_refused_at_once_with_a_retry_time_in_an_outage():
-    """The store fails for all instances: jobs are refused at once, with a `Retry-After` header."""
+    """The store fails for all instances: jobs must be refused at once with a `Retry-After`."""
     cell = make_cell(n_instances=3)
     cell.store_faults.status = 503
     cell.advance(1.0)
@@ -187,8 +187,8 @@
 def test_late_writes_of_a_former_leader_do_nothing():
     """The store executes each write of a leader 3 s later, when another leader has taken over.
 
-    The leader's row has a newer version by then, so that an old record must not replace a newer
-    one.
+    Writes are conditional on the version of the leader's row, so that an old record must not
+    replace a newer one.
     """
     cell = make_cell(n_instances=4)
     cell.submit(cell.other(), JOB, STEP, {**STEP, "after": [0]}, spec="1.0 done 1000")
@@ -272,7 +272,7 @@
 def test_tables_are_read_again_after_the_store_discards_its_history():
     """The store discards its history after a change of the configuration and a new worker.
 
-    The changes are missing from the feed, so that instances must read the tables in full.
+    The changes are missing from the feed, so instances must read the tables in full.
     """
     from anvilflow.standins import make_platform_config
 
--- a/anvilflow/cell/tests/test_whole_path.py
+++ b/anvilflow/cell/tests/test_whole_path.py
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("attempts", [1, 3])
 def test_task_that_fails_has_the_allowed_number_of_attempts(attempts):
-    """Guards against a wrong number of attempts of a task that always fails, or on one worker."""
+    """Guards against too few or too many attempts of a failing task, or all on one worker."""
     cell = make_cell(config=make_platform_config(attempts=attempts))
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.2 failed 1000")
     cell.advance(15.0)
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -15,10 +15,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_commands_of_a_former_leader_that_arrive_late_do_nothing(monkeypatch, safeguard):
-    """The leader is killed while its starts are in transit, and the next leader starts the tasks.
+    """The leader is killed with starts in transit, and the next leader starts the task elsewhere.
 
     The starts then arrive with the former leader's token, after the worker has seen a higher one.
-    If both leaders had the same token, the tasks would run twice.
+    If both leaders had the same token, the task would run twice.
     """
     if not safeguard:
         monkeypatch.setattr(_leadership, "Claimed", _same_token)
