--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -490,6 +490,6 @@
         for job in ended:
             self._garbage_collector.add(job.job_id, self.context.wall_clock())
             self._garbage_collector.shorten(job)
-            self._relay_dispatcher.drop_job(job.job_id)
+            self._relay_dispatcher.remove_job(job.job_id)
             self.log.info("job ended", job=job.job_id, state=str(job.state))
             self._calls.job_ended(job.job_id)
