--- a/anvilflow/decisions/_leases.py
+++ b/anvilflow/decisions/_leases.py
@@ -1,22 +1,22 @@
-"""Arithmetic of leases between two clocks that are not shared.
+"""Computation of lease ends between two clocks that are not synchronized.
 
-A renewal names the moment on the *worker's* clock up to which a task may run. A renewal that is
-delayed on the way therefore cannot make the lease longer than its sender reckoned, which a
-renewal of the form "for 15 s from now" would.
+A renewal states the time on the *worker's* clock until which a task may run. A renewal that is
+delayed in transit therefore cannot extend the lease beyond what its sender computed. A renewal of
+the form "for 15 s from now" would.
 """
 
 from msgspec import Struct
 
 
 class LeaseClock(Struct, kw_only=True):
-    """What an owner knows of a worker's clock.
+    """Reading of a worker's clock, and the local times of the call that read it.
 
     Parameters
     ----------
     worker_time : float
-        Reading of the worker's clock in its last answer. Unit: seconds.
+        Reading of the worker's clock in its latest answer. Unit: seconds.
     sent, received : float
-        Own time at which that call was sent and answered. Unit: seconds.
+        Local times at which that call was sent and its answer received. Unit: seconds.
 
     Examples
     --------
@@ -30,21 +30,23 @@
     received: float
 
     def until(self, now, lease_s):
-        """Return the moment on the worker's clock at which a lease given now ends.
+        """Return the time on the worker's clock at which a lease granted now ends.
 
-        The earliest that the worker's clock can show now is counted from the answer's receipt:
-        the lease is a little shorter than `lease_s`, never longer.
+        The result assumes that the worker read its clock when the answer was received, which gives
+        the earliest time that its clock can show now. The lease is therefore slightly shorter than
+        `lease_s`, never longer.
         """
         return self.worker_time + (now - self.received) + lease_s
 
-    def own_time_of(self, until, drift):
-        """Return the own time by which the worker's clock surely shows `until`.
+    def local_time_of(self, until, drift):
+        """Return the local time by which the worker's clock certainly shows `until`.
 
-        The worker's clock may run slow by `drift`, and may have been read as late as at receipt.
+        The worker's clock may run slow by the ratio `drift`, and may have been read as late as
+        when the answer was received.
         """
         return self.received + (until - self.worker_time) * (1 + drift)
 
 
 def lease_over_at(clock, until, drift):
-    """Return the own time from which a task under this lease certainly no longer runs."""
-    return clock.own_time_of(until, drift)
+    """Return the local time from which a task under this lease certainly no longer runs."""
+    return clock.local_time_of(until, drift)
--- a/anvilflow/decisions/_outcomes.py
+++ b/anvilflow/decisions/_outcomes.py
@@ -1,10 +1,10 @@
-"""How a request ends, and whether it may be sent again."""
+"""Outcomes of requests, and which of them allow a retry."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """What a caller is told about its request."""
+    """Outcome of a request as reported to its caller."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -15,8 +15,8 @@
 def can_retry(outcome, *, idempotent):
     """Whether a request with this outcome may be sent to another target.
 
-    Sending again a request that may have run could run it twice, which only an idempotent one
-    stands. One that certainly did not run can always be sent again.
+    A request that may have run could run twice if it is sent again, which is safe only if it is
+    idempotent. A request that certainly did not run can always be sent again.
     """
     match outcome:
         case Outcome.NOT_RUN:
--- a/anvilflow/decisions/_ownership.py
+++ b/anvilflow/decisions/_ownership.py
@@ -1,24 +1,24 @@
-"""Which live instance owns a worker or is coordinator of a customer's jobs.
+"""Assignment of workers to owners, and of customers' jobs to coordinators.
 
-Rendezvous hashing (Thaler and Ravishankar, 1998): every instance works the answer out alone from
-the list of live instances, and when one instance leaves only what it had moves.
+Rendezvous hashing (Thaler and Ravishankar, 1998): every instance computes the assignment by itself
+from the list of live instances. When an instance leaves, only the keys assigned to it move.
 """
 
 import xxhash
 
 
 def score(instance, key):
-    """Return the weight of `instance` for `key`, the same on every machine."""
+    """Return the rendezvous score of `instance` for `key`, the same on every machine."""
     return xxhash.xxh64_intdigest(f"{instance}\x00{key}".encode())
 
 
 def rendezvous_order(instances, key):
-    """Return the instances, the one that should have `key` first."""
+    """Return the instances by preference for `key`, most preferred first."""
     return sorted(instances, key=lambda instance: (-score(instance, key), instance))
 
 
 def choose_owner(instances, key):
-    """Return the instance that should have `key`, or None when there is none.
+    """Return the instance that `key` is assigned to, or None if there are no instances.
 
     Examples
     --------
--- a/anvilflow/decisions/_retries.py
+++ b/anvilflow/decisions/_retries.py
@@ -1,20 +1,20 @@
-"""A budget that keeps retries from amplifying an overload."""
+"""Budget that prevents retries from amplifying an overload."""
 
 
 class RetryBudget:
-    """Tokens that first attempts earn and retries spend.
+    """Token bucket that first attempts fill and retries drain.
 
     Parameters
     ----------
     ratio : float, default=0.1
-        Retries allowed per first attempt, in the long run.
+        Retries allowed per first attempt, on average.
     burst : float, default=10.0
-        Most tokens that are kept.
+        Maximum number of tokens.
 
     Notes
     -----
-    The scheme of Finagle's and Envoy's retry budgets. Retries limited per request multiply the
-    load of a failing cell by the limit; limited by a budget they add `ratio` of it at most.
+    The same scheme as the retry budgets of Finagle and Envoy. A limit of retries per request
+    multiplies the load of a failing cell by that limit. A budget adds at most `ratio` of the load.
     """
 
     __slots__ = ("_tokens", "burst", "ratio")
@@ -26,15 +26,15 @@
 
     @property
     def tokens(self):
-        """Tokens left."""
+        """Number of tokens left."""
         return self._tokens
 
     def earn(self):
-        """Note a first attempt."""
+        """Record a first attempt, which adds `ratio` tokens."""
         self._tokens = min(self.burst, self._tokens + self.ratio)
 
     def spend(self):
-        """Take a token for a retry; return whether there was one."""
+        """Take one token for a retry; return whether one was available."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -166,7 +166,7 @@
     sent, delay, lease = 100.0, 20.0, 15.0
     clock = LeaseClock(worker_time=50.0, sent=sent - 1, received=sent)
     until = clock.until(now=sent, lease_s=lease) if safeguard else 50.0 + delay + lease
-    over_at = clock.own_time_of(clock.until(now=sent, lease_s=lease), drift=0.01)
+    over_at = clock.local_time_of(clock.until(now=sent, lease_s=lease), drift=0.01)
     worker_time_then = 50.0 + (over_at - sent) * 0.99
     assert (until <= worker_time_then + 0.01 * lease) is safeguard
 
