--- a/anvilflow/decisions/_allocations.py
+++ b/anvilflow/decisions/_allocations.py
@@ -1,31 +1,50 @@
-"""Exact accounting of workers, indexed so that no decision scans all of them.
+"""Accounting of the capacity of workers, indexed so that no decision scans all workers.
 
-The index keeps, for each resource and each level of free amount, a bit set of the workers that
-have at least that much free. Python's integers serve as bit sets: the workers that may hold a
-need are the intersection of four of them, whatever the number of workers.
+The amounts are exact. The index keeps, for each resource and each level of free amount, a bit set
+of the workers that have at least that much free. Python integers serve as bit sets: the workers
+that may fit given needs are the intersection of at most four bit sets, whatever the number of
+workers.
 """
 
 from ..resources import RESOURCE_NAMES
 
-#: Free amounts are indexed in steps of this size; the exact check follows for each candidate.
+#: Step between two levels of free amount in the index, per resource. Each candidate that the index
+#: returns is then checked exactly.
 _STEPS = {"cpu_milli": 250, "memory_mb": 256, "accelerators": 1, "slots": 1}
 
-#: Levels per resource; all above the last count as the last.
+#: Highest level per resource; larger free amounts count as this level.
 _MAX_LEVEL = 512
 
-#: Candidates that are checked exactly before the search gives up. Only those whose free amount
-#: shares the need's level can fail, so few are ever seen.
+#: Maximum number of candidates that a search checks exactly. Only a candidate whose free amount is
+#: on the same level as the need can fail the check, so a search rarely checks more than a few.
 _MAX_CHECKS = 64
 
 
 class WorkerAllocation:
-    """What one worker has, what is taken and by whom.
+    """Capacity of one worker and the items (requests, tasks, holds) that take parts of it.
 
     Parameters
     ----------
     worker : str
     capacity : Amounts
     rack, failure_domain : str
+
+    Attributes
+    ----------
+    position : int
+        Position of the worker's bit in the bit sets of the index.
+    bit : int
+        Bit set that contains only this worker.
+    taken : dict of str to (list of int, bool)
+        Amounts that each item takes, and whether the item is a task or a hold for one.
+    free : list of int
+        Amounts free for service requests, in the order of ``RESOURCE_NAMES``, like the next three.
+    task_capacity : list of int
+        Amounts that tasks may take in total.
+    task_free : list of int
+        Amounts free for tasks.
+    task_used : list of int
+        Amounts taken by tasks and holds.
     """
 
     __slots__ = (
@@ -36,7 +55,7 @@
         "position",
         "rack",
         "taken",
-        "task_bounds",
+        "task_capacity",
         "task_free",
         "task_used",
         "worker",
@@ -51,21 +70,21 @@
         self.bit = 0
         self.taken = {}
         self.free = [getattr(capacity, name) for name in RESOURCE_NAMES]
-        self.task_bounds = list(self.free)
+        self.task_capacity = list(self.free)
         self.task_free = list(self.free)
         self.task_used = [0] * len(RESOURCE_NAMES)
 
 
 class _LevelIndex:
-    """Bit sets of workers by free amount of each resource."""
+    """Bit sets of workers by level of free amount, one list of levels per resource."""
 
     __slots__ = ("_at_least",)
 
     def __init__(self):
         self._at_least = [[0] for _ in RESOURCE_NAMES]
 
-    def move(self, bit, old, new):
-        """Note that the worker `bit` has `new` free where it had `old`."""
+    def update(self, bit, old, new):
+        """Record that the free amounts of worker `bit` change from `old` to `new`."""
         for number in _NUMBERS:
             before, after = old[number], new[number]
             if before == after:
@@ -74,10 +93,10 @@
             before = before // step if before > 0 else 0
             after = after // step if after > 0 else 0
             if before != after:
-                self._shift(number, bit, min(before, _MAX_LEVEL), min(after, _MAX_LEVEL))
+                self._set_levels(number, bit, min(before, _MAX_LEVEL), min(after, _MAX_LEVEL))
 
     def candidates(self, need):
-        """Return the bit set of workers that may hold `need`."""
+        """Return the bit set of workers that may fit `need`, to be checked exactly."""
         found = -1
         for number in _NUMBERS:
             level = need[number] // _STEP_SIZES[number]
@@ -90,7 +109,7 @@
         return found
 
     def fullest(self, candidates, start):
-        """Yield single bits of `candidates`, those with the least free processor time first."""
+        """Yield the bits of `candidates` one by one, least free processor time first."""
         levels = self._at_least[0]
         last = len(levels) - 1
         level = min(start, last)
@@ -107,10 +126,10 @@
 
     @staticmethod
     def _first_level(levels, candidates, low, high):
-        """Return the lowest level at which a candidate stands, by bisection.
+        """Return the lowest level of any candidate, by bisection.
 
-        The sets shrink from level to level, so whether all candidates are still above a level
-        changes once. Walking the levels one by one was most of a decision's time.
+        Each level's bit set is a subset of the one below, so whether all candidates are above a
+        level changes only once. A linear scan of the levels took most of the time of a decision.
         """
         while low < high:
             middle = (low + high) // 2
@@ -120,7 +139,7 @@
                 low = middle + 1
         return low
 
-    def _shift(self, number, bit, before, after):
+    def _set_levels(self, number, bit, before, after):
         levels = self._at_least[number]
         while len(levels) <= max(before, after):
             levels.append(0)
@@ -144,20 +163,20 @@
     return [amounts.cpu_milli, amounts.memory_mb, amounts.accelerators, amounts.slots]
 
 
-def _plus(amounts, others):
-    """Return the sums; written out, since this runs several times in each decision."""
+def _add(amounts, others):
+    """Return the sums; unrolled for speed, since each decision calls this several times."""
     a, b, c, d = amounts
     p, q, r, s = others
     return [a + p, b + q, c + r, d + s]
 
 
-def _minus(amounts, others):
+def _subtract(amounts, others):
     a, b, c, d = amounts
     p, q, r, s = others
     return [a - p, b - q, c - r, d - s]
 
 
-def _holds(have, need):
+def _covers(have, need):
     """Whether each amount of `have` is at least that of `need`."""
     a, b, c, d = have
     p, q, r, s = need
@@ -165,28 +184,29 @@
 
 
 class AllocationIndex:
-    """The workers of one owner.
+    """The allocations of all workers of one owner, indexed by free amounts.
 
     Parameters
     ----------
     reserve : float, default=0.25
-        Share of each worker that tasks leave free for service requests.
+        Share of each worker that is reserved for service requests: tasks leave it free.
 
     Notes
     -----
-    ``free`` is what a service request may take, ``task_free`` what a task may take: the capacity
-    less the reserve less what tasks have, and never more than ``free``. Both are indexed, so that
-    a worker whose task share is used up costs a task's decision nothing.
+    ``free`` is the amount that service requests may take. ``task_free`` is the amount that tasks
+    may take: the capacity less the reserve less what tasks use, and never more than ``free``.
+    Accelerators are not reserved. Both amounts are indexed, so that a search for a task does not
+    visit workers whose task share is used up.
     """
 
     __slots__ = (
         "_allocations",
         "_by_bit",
-        "_fitting",
+        "_fit_cache",
         "_index",
-        "_live",
-        "_plain",
+        "_open_bits",
         "_task_index",
+        "_without_accelerators",
         "reserve",
     )
 
@@ -194,9 +214,9 @@
         self.reserve = reserve
         self._allocations = {}
         self._by_bit = {}
-        self._fitting = {}
-        self._live = 0
-        self._plain = 0
+        self._fit_cache = {}
+        self._open_bits = 0
+        self._without_accelerators = 0
         self._index = _LevelIndex()
         self._task_index = _LevelIndex()
 
@@ -210,11 +230,11 @@
         return iter(self._allocations.values())
 
     def get(self, worker):
-        """Return the worker's room or None."""
+        """Return the allocation of the worker, or None."""
         return self._allocations.get(worker)
 
     def add(self, allocation):
-        """Start to place work on a worker."""
+        """Add a worker and open it for placement."""
         position = 0
         while 1 << position in self._by_bit:
             position += 1
@@ -222,80 +242,80 @@
         allocation.bit = 1 << position
         self._allocations[allocation.worker] = allocation
         self._by_bit[allocation.bit] = allocation
-        self._live |= allocation.bit
+        self._open_bits |= allocation.bit
         if not allocation.capacity.accelerators:
-            self._plain |= allocation.bit
-        nothing = [0] * len(RESOURCE_NAMES)
-        self._index.move(allocation.bit, nothing, allocation.free)
-        allocation.task_bounds = self._bounds(allocation, True)
-        allocation.task_free = self._task_room(allocation)
-        self._task_index.move(allocation.bit, nothing, allocation.task_free)
-        self._fitting.clear()
+            self._without_accelerators |= allocation.bit
+        zeros = [0] * len(RESOURCE_NAMES)
+        self._index.update(allocation.bit, zeros, allocation.free)
+        allocation.task_capacity = self._usable_capacity(allocation, True)
+        allocation.task_free = self._free_for_tasks(allocation)
+        self._task_index.update(allocation.bit, zeros, allocation.task_free)
+        self._fit_cache.clear()
 
     def remove(self, worker):
-        """Forget a worker; return its room or None."""
+        """Remove a worker; return its allocation, or None if it is unknown."""
         allocation = self._allocations.pop(worker, None)
         if allocation is None:
             return None
-        nothing = [0] * len(RESOURCE_NAMES)
-        self._index.move(allocation.bit, allocation.free, nothing)
-        self._task_index.move(allocation.bit, allocation.task_free, nothing)
+        zeros = [0] * len(RESOURCE_NAMES)
+        self._index.update(allocation.bit, allocation.free, zeros)
+        self._task_index.update(allocation.bit, allocation.task_free, zeros)
         del self._by_bit[allocation.bit]
-        self._live &= ~allocation.bit
-        self._plain &= ~allocation.bit
-        self._fitting.clear()
+        self._open_bits &= ~allocation.bit
+        self._without_accelerators &= ~allocation.bit
+        self._fit_cache.clear()
         return allocation
 
     def close(self, worker):
-        """Find no place on a worker any more; what it runs stays accounted."""
+        """Exclude a worker from placement; its running work stays accounted for."""
         allocation = self._allocations.get(worker)
         if allocation is not None:
-            self._live &= ~allocation.bit
-            self._fitting.clear()
+            self._open_bits &= ~allocation.bit
+            self._fit_cache.clear()
 
     def reopen(self, worker):
-        """Find places on a worker again."""
+        """Include a closed worker in placement again."""
         allocation = self._allocations.get(worker)
         if allocation is not None:
-            self._live |= allocation.bit
-            self._fitting.clear()
+            self._open_bits |= allocation.bit
+            self._fit_cache.clear()
 
     def is_closed(self, worker):
-        """Whether no place is found on the worker."""
+        """Whether the worker is closed for placement or unknown."""
         allocation = self._allocations.get(worker)
-        return allocation is None or not allocation.bit & self._live
+        return allocation is None or not allocation.bit & self._open_bits
 
     def set_reserve(self, reserve):
-        """Change the share that tasks leave free; what already runs stays."""
+        """Set the share reserved for service requests; running tasks are not affected."""
         self.reserve = reserve
-        self._fitting.clear()
+        self._fit_cache.clear()
         for allocation in self._allocations.values():
-            allocation.task_bounds = self._bounds(allocation, True)
+            allocation.task_capacity = self._usable_capacity(allocation, True)
             self._reindex(allocation, allocation.free)
 
     def best_fit(self, needs, *, task):
-        """Return the fullest worker that holds `needs`, or None.
+        """Return a worker that fits `needs`, with the least free processor time, or None.
 
-        A need without accelerators goes to workers without any while one fits, so that
-        accelerators stay free for work that needs them.
+        Work that needs no accelerators is placed on workers without accelerators as long as one
+        fits, so that accelerators stay free for work that needs them.
         """
         need = as_list(needs)
         index = self._task_index if task else self._index
-        candidates = index.candidates(need) & self._live
+        candidates = index.candidates(need) & self._open_bits
         if not candidates:
             return None
-        if not need[_ACCELERATORS] and candidates & self._plain:
-            found = self._search(index, candidates & self._plain, need, task)
+        if not need[_ACCELERATORS] and candidates & self._without_accelerators:
+            found = self._search(index, candidates & self._without_accelerators, need, task)
             if found is not None:
                 return found
-            candidates &= ~self._plain
+            candidates &= ~self._without_accelerators
         return self._search(index, candidates, need, task)
 
     def take(self, worker, item_id, needs, *, task):
-        """Account `needs` for the item on the worker, whether or not it fits.
+        """Account for `needs` of the item on the worker, whether or not they fit.
 
-        Work that a new owner finds running is accounted even when it leaves the worker over its
-        task share: it is there, and leaving it out would let more be placed on top.
+        Work that a new owner finds running is accounted for even if it exceeds the worker's task
+        share. If it were left out, more work would be placed on top of it.
         """
         allocation = self._allocations[worker]
         if item_id in allocation.taken:
@@ -303,11 +323,11 @@
         need = as_list(needs)
         allocation.taken[item_id] = (need, task)
         if task:
-            allocation.task_used = _plus(allocation.task_used, need)
-        self._reindex(allocation, _minus(allocation.free, need))
+            allocation.task_used = _add(allocation.task_used, need)
+        self._reindex(allocation, _subtract(allocation.free, need))
 
     def release(self, worker, item_id):
-        """Give back what the item took; return whether it had anything."""
+        """Free the amounts that the item takes; return whether the item was known."""
         allocation = self._allocations.get(worker)
         if allocation is None:
             return False
@@ -316,29 +336,31 @@
             return False
         need, task = taken
         if task:
-            allocation.task_used = _minus(allocation.task_used, need)
-        self._reindex(allocation, _plus(allocation.free, need))
+            allocation.task_used = _subtract(allocation.task_used, need)
+        self._reindex(allocation, _add(allocation.free, need))
         return True
 
     def ever_fits(self, needs, *, task):
-        """Whether an open worker would hold `needs` if it were empty.
+        """Whether `needs` would fit some open worker if that worker were empty.
 
-        Remembered until the workers change.
+        The result is cached until the workers or the reserve change.
         """
-        known = self._fitting.get((needs, task))
-        if known is None:
+        fits = self._fit_cache.get((needs, task))
+        if fits is None:
             need = as_list(needs)
-            known = any(
-                _holds(self._bounds(allocation, task), need)
+            fits = any(
+                _covers(self._usable_capacity(allocation, task), need)
                 for allocation in self.open_allocations()
             )
-            self._fitting[needs, task] = known
-        return known
+            self._fit_cache[needs, task] = fits
+        return fits
 
     def open_allocations(self):
-        """Return the rooms on which places are found."""
+        """Return the allocations of the workers that are open for placement."""
         return [
-            allocation for allocation in self._allocations.values() if allocation.bit & self._live
+            allocation
+            for allocation in self._allocations.values()
+            if allocation.bit & self._open_bits
         ]
 
     def total(self, name):
@@ -346,24 +368,24 @@
         return sum(getattr(allocation.capacity, name) for allocation in self._allocations.values())
 
     def total_free(self, name, *, task):
-        """Return the free amount of resource `name` over the workers that are open."""
+        """Return the free amount of resource `name` over all open workers."""
         number = RESOURCE_NAMES.index(name)
         return sum(
             max(0, (allocation.task_free if task else allocation.free)[number])
             for allocation in self.open_allocations()
         )
 
-    def _bounds(self, allocation, task):
-        whole = as_list(allocation.capacity)
+    def _usable_capacity(self, allocation, task):
+        amounts = as_list(allocation.capacity)
         if not task:
-            return whole
+            return amounts
         return [
             amount if number == _ACCELERATORS else int(amount * (1 - self.reserve))
-            for number, amount in enumerate(whole)
+            for number, amount in enumerate(amounts)
         ]
 
-    def _task_room(self, allocation):
-        a, b, c, d = _minus(allocation.task_bounds, allocation.task_used)
+    def _free_for_tasks(self, allocation):
+        a, b, c, d = _subtract(allocation.task_capacity, allocation.task_used)
         p, q, r, s = allocation.free
         return [
             a if a < p else p,
@@ -373,10 +395,10 @@
         ]
 
     def _reindex(self, allocation, free):
-        self._index.move(allocation.bit, allocation.free, free)
+        self._index.update(allocation.bit, allocation.free, free)
         allocation.free = free
-        task_free = self._task_room(allocation)
-        self._task_index.move(allocation.bit, allocation.task_free, task_free)
+        task_free = self._free_for_tasks(allocation)
+        self._task_index.update(allocation.bit, allocation.task_free, task_free)
         allocation.task_free = task_free
 
     def _search(self, index, candidates, need, task):
@@ -386,6 +408,6 @@
                 return None
             allocation = self._by_bit[bit]
             have = allocation.task_free if task else allocation.free
-            if _holds(have, need):
+            if _covers(have, need):
                 return allocation.worker
         return None
--- a/anvilflow/decisions/_fair_queue.py
+++ b/anvilflow/decisions/_fair_queue.py
@@ -1,9 +1,10 @@
 """Weighted fair queueing over customers.
 
 Start-time fair queueing (Goyal, Vin and Cheng, SIGCOMM 1996): each item gets a start tag, the
-larger of the queue's virtual time and the finish tag of the customer's last item; the smallest
-start tag goes first. A customer that was idle starts at the present virtual time, so it waits for
-at most the one item that is next of each other customer, however long their queues are.
+larger of the queue's virtual time and the finish tag of the customer's previous item. The item
+with the smallest start tag goes first. A customer that was idle starts at the current virtual
+time, so its first item waits for at most one item of each other customer, however long their
+queues are.
 """
 
 from collections import deque
@@ -13,20 +14,20 @@
 
 
 class QueuedItem(Struct, kw_only=True):
-    """An item that waits.
+    """An item in the queue.
 
     Parameters
     ----------
     item_id : str
     customer : str
     cost : float
-        What the item takes, in any one unit; a customer's share is measured in it.
+        Amount that the item uses of the shared capacity, in the same unit for all items.
     weight : int
-        The customer's weight.
+        The customer's weight: its share is proportional to it.
     deadline : float
-        Time after which the item is dropped. Unit: seconds.
+        Time after which ``FairQueue.expire`` removes the item. Unit: seconds.
     value : object
-        What the caller of the queue gets back.
+        Payload of the caller; the queue does not use it.
     """
 
     item_id: str
@@ -37,20 +38,23 @@
     value: object
 
 
-class _Line:
-    """The items of one customer."""
+class _CustomerQueue:
+    """The items of one customer.
 
-    __slots__ = ("finish_tag", "items", "n_live", "start_tag")
+    ``items`` may still contain removed items behind its head; ``n_items`` does not count them.
+    """
+
+    __slots__ = ("finish_tag", "items", "n_items", "start_tag")
 
     def __init__(self):
         self.items = deque()
-        self.n_live = 0
+        self.n_items = 0
         self.start_tag = 0.0
         self.finish_tag = 0.0
 
 
 class FairQueue:
-    """Items of many customers, in weighted fair order.
+    """Queue of the items of many customers, in weighted fair order.
 
     Examples
     --------
@@ -64,65 +68,66 @@
     ['big-0', 'small', 'big-1']
     """
 
-    __slots__ = ("_deadlines", "_known", "_lines", "_order", "_virtual_time")
+    __slots__ = ("_by_start_tag", "_customer_queues", "_deadlines", "_items_by_id", "_virtual_time")
 
     def __init__(self):
-        self._lines = {}
-        self._order = SortedList()
-        self._known = {}
+        self._customer_queues = {}
+        self._by_start_tag = SortedList()
+        self._items_by_id = {}
         self._deadlines = SortedList()
         self._virtual_time = 0.0
 
     def __len__(self):
-        return len(self._known)
+        return len(self._items_by_id)
 
     def __contains__(self, item_id):
-        return item_id in self._known
+        return item_id in self._items_by_id
 
     def length_of(self, customer):
-        """Return the number of the customer's items."""
-        line = self._lines.get(customer)
-        return line.n_live if line else 0
+        """Return the number of queued items of the customer."""
+        queue = self._customer_queues.get(customer)
+        return queue.n_items if queue else 0
 
     def push(self, item):
-        """Add an item; one that is already queued is left as it is."""
-        if item.item_id in self._known:
+        """Add an item, unless an item with the same identifier is already queued."""
+        if item.item_id in self._items_by_id:
             return
-        line = self._lines.setdefault(item.customer, _Line())
-        if not line.items:
-            line.start_tag = max(self._virtual_time, line.finish_tag)
-            self._order.add((line.start_tag, item.customer))
-        line.items.append(item)
-        line.n_live += 1
-        self._known[item.item_id] = item
+        queue = self._customer_queues.setdefault(item.customer, _CustomerQueue())
+        if not queue.items:
+            queue.start_tag = max(self._virtual_time, queue.finish_tag)
+            self._by_start_tag.add((queue.start_tag, item.customer))
+        queue.items.append(item)
+        queue.n_items += 1
+        self._items_by_id[item.item_id] = item
         self._deadlines.add((item.deadline, item.item_id))
 
     def pop_first(self, accepts):
-        """Remove and return the first customer's head item that `accepts` takes, or None.
+        """Remove and return the first item in fair order that `accepts` returns true for, or None.
 
-        A customer whose head is not taken is passed over, and keeps its place.
+        Only the head item of each customer is considered. A customer whose head item is not
+        accepted is skipped and keeps its place in the order.
         """
-        for start_tag, customer in self._order:
-            line = self._lines[customer]
-            item = line.items[0]
+        for start_tag, customer in self._by_start_tag:
+            queue = self._customer_queues[customer]
+            item = queue.items[0]
             if accepts(item):
                 self._virtual_time = max(self._virtual_time, start_tag)
-                self._take_head(customer, line, item)
+                self._take_head(customer, queue, item)
                 return item
         return None
 
     def remove(self, item_id):
-        """Remove an item wherever it stands; return it, or None when it is not queued."""
-        item = self._known.get(item_id)
+        """Remove an item at any position; return it, or None if it is not queued."""
+        item = self._items_by_id.get(item_id)
         if item is None:
             return None
-        line = self._lines[item.customer]
-        if line.items[0] is item:
-            self._take_head(item.customer, line, item, charge=False)
+        queue = self._customer_queues[item.customer]
+        if queue.items[0] is item:
+            self._take_head(item.customer, queue, item, charge=False)
         else:
-            # The item stays in the deque until it comes to its head: taking it out of the middle
-            # would make a wave of cancellations quadratic in the length of the queue.
-            self._forget(line, item)
+            # The item stays in the deque until it reaches the head. Removing it from the middle
+            # would make many cancellations at once quadratic in the length of the queue.
+            self._drop(queue, item)
         return item
 
     def expire(self, now):
@@ -134,7 +139,7 @@
 
     def items(self):
         """Return all items, in no particular order."""
-        return list(self._known.values())
+        return list(self._items_by_id.values())
 
     def clear(self):
         """Remove and return all items."""
@@ -142,20 +147,20 @@
         self.__init__()
         return items
 
-    def _take_head(self, customer, line, item, *, charge=True):
-        self._order.remove((line.start_tag, customer))
-        self._forget(line, item)
+    def _take_head(self, customer, queue, item, *, charge=True):
+        self._by_start_tag.remove((queue.start_tag, customer))
+        self._drop(queue, item)
         if charge:
-            line.finish_tag = line.start_tag + item.cost / item.weight
-        while line.items and self._known.get(line.items[0].item_id) is not line.items[0]:
-            line.items.popleft()
-        if line.items:
-            line.start_tag = max(self._virtual_time, line.finish_tag)
-            self._order.add((line.start_tag, customer))
-        elif line.finish_tag <= self._virtual_time:
-            del self._lines[customer]
-
-    def _forget(self, line, item):
-        line.n_live -= 1
-        del self._known[item.item_id]
+            queue.finish_tag = queue.start_tag + item.cost / item.weight
+        while queue.items and self._items_by_id.get(queue.items[0].item_id) is not queue.items[0]:
+            queue.items.popleft()
+        if queue.items:
+            queue.start_tag = max(self._virtual_time, queue.finish_tag)
+            self._by_start_tag.add((queue.start_tag, customer))
+        elif queue.finish_tag <= self._virtual_time:
+            del self._customer_queues[customer]
+
+    def _drop(self, queue, item):
+        queue.n_items -= 1
+        del self._items_by_id[item.item_id]
         self._deadlines.remove((item.deadline, item.item_id))
--- a/anvilflow/decisions/_messages.py
+++ b/anvilflow/decisions/_messages.py
@@ -1,4 +1,9 @@
-"""What the owner's decisions take in and give out."""
+"""Inputs and outputs of the owner's scheduling decisions.
+
+A hold is the reservation of a place (capacity on one worker) for one attempt of a task. The
+coordinator of a customer's jobs requests it from the owner of some workers, and starts the attempt
+in it once it is granted.
+"""
 
 from enum import StrEnum
 
@@ -8,7 +13,7 @@
 
 
 class RefuseReason(StrEnum):
-    """Why a request was certainly not run, or a hold not granted."""
+    """Reason for which a request was not run, or a hold was not granted."""
 
     QUEUE_FULL = "queue_full"
     DEADLINE = "deadline"
@@ -19,7 +24,7 @@
 
 
 class Request(Struct, kw_only=True):
-    """A service request that waits for a place.
+    """A service request to be placed on a worker.
 
     Parameters
     ----------
@@ -30,8 +35,12 @@
         Expected run time. Unit: seconds.
     deadline : float
         Time on the owner's clock after which the caller no longer waits. Unit: seconds.
-    weight : int
+    weight : int, default=100
         The customer's priority.
+    queue_limit : int, default=256
+        Number of queued requests of the customer from which on further requests are refused.
+    customer_share : float, default=0.75
+        Share of the slots not used by tasks that the customer's requests may take.
     """
 
     request_id: str
@@ -46,18 +55,21 @@
 
 
 class Hold(Struct, kw_only=True):
-    """A place asked for one attempt of a task.
+    """A reservation of a place for one attempt of a task, requested or granted.
 
     Parameters
     ----------
     hold_id : str
-        ``CUSTOMER/JOB/INDEX/ATTEMPT``: unique for an attempt.
+        ``CUSTOMER/JOB/INDEX/ATTEMPT``, unique per attempt.
     customer : str
     needs : Amounts
     age : int
-        Revision at which the job was submitted: a total order over all jobs of the cell.
-    gang : bool
-    weight : int
+        Revision at which the job was submitted, which gives a total order over all jobs of the
+        cell. A smaller number is an older job.
+    gang : bool, default=False
+        Whether the job is a gang job: its tasks start together or not at all.
+    weight : int, default=100
+        The customer's priority.
     """
 
     hold_id: str
@@ -69,14 +81,14 @@
 
 
 class Dispatch(Struct, kw_only=True):
-    """Send the request to the worker now."""
+    """Instruction to send the request to the worker now."""
 
     request: Request
     worker: str
 
 
 class Refuse(Struct, kw_only=True):
-    """Answer that the request was not run; the caller may come back after `retry_after` s."""
+    """Answer that the request was not run; the caller may retry after `retry_after` seconds."""
 
     request_id: str
     reason: RefuseReason
@@ -84,27 +96,30 @@
 
 
 class ForgetRequest(Struct, kw_only=True):
-    """The request is no longer known; its place is free."""
+    """Notice that the request is no longer tracked and its place is free."""
 
     request_id: str
 
 
 class HoldGranted(Struct, kw_only=True):
-    """A place is held on the worker."""
+    """Answer that a place on the worker is reserved for the hold."""
 
     hold: Hold
     worker: str
 
 
 class HoldRefused(Struct, kw_only=True):
-    """No place is held, nor will be."""
+    """Answer that no place is reserved, and that the hold is no longer queued."""
 
     hold: Hold
     reason: RefuseReason
 
 
 class HoldRevoked(Struct, kw_only=True):
-    """A held place was given to an older job or ran out."""
+    """Notice that a granted hold ended before its task was started.
+
+    The place went to an older gang job, the hold expired, or its worker was removed or closed.
+    """
 
     hold: Hold
     worker: str
--- a/anvilflow/decisions/tests/test_oracle.py
+++ b/anvilflow/decisions/tests/test_oracle.py
@@ -1,4 +1,7 @@
-"""Stateful fuzzing of queue, accounting and holds against a simple oracle."""
+"""Stateful fuzzing of the owner's queues, accounting and holds against a simple oracle.
+
+A hold is the reservation of a place on a worker for one attempt of a task.
+"""
 
 import os
 
@@ -19,7 +22,7 @@
 )
 from anvilflow.resources import RESOURCE_NAMES, Amounts
 
-#: Examples and steps: small in CI, deep by `make fuzz`.
+#: Number of examples and of steps per example: few examples in CI, many with `make fuzz`.
 N_EXAMPLES = int(os.environ.get("ANVILFLOW_FUZZ_EXAMPLES", "40"))
 N_STEPS = 60
 
@@ -42,6 +45,10 @@
 customers = st.sampled_from(["small", "large", "other"])
 
 
+# Calls an `OwnerScheduler` at random and follows its decisions in an oracle: a plain record of the
+# worker on which each item is placed. The invariants compare the scheduler's accounting with it.
+# Hypothesis derives the examples from the source of this class, doc comments included: a change of
+# it changes the examples that CI runs.
 class OwnerMachine(RuleBasedStateMachine):
     """Drives an owner's book and keeps a plain list of what is where."""
 
--- a/anvilflow/decisions/tests/test_oracle_catches.py
+++ b/anvilflow/decisions/tests/test_oracle_catches.py
@@ -1,4 +1,4 @@
-"""The oracle is worth something: each safeguard that is taken out is caught."""
+"""Check that the oracle of ``test_oracle`` detects each safeguard that is disabled."""
 
 import pytest
 from hypothesis import HealthCheck, Phase, settings
@@ -21,51 +21,53 @@
 
 
 def no_exact_check(monkeypatch):
-    """The index alone decides, in steps of 250 thousandths and 256 MiB."""
-    monkeypatch.setattr("anvilflow.decisions._allocations._holds", lambda have, need: True)
+    """Place by the index alone, in steps of 250 thousandths of a processor and 256 MiB."""
+    monkeypatch.setattr("anvilflow.decisions._allocations._covers", lambda have, need: True)
 
 
 def no_reserve(monkeypatch):
-    """Tasks take whole workers."""
+    """Let tasks take whole workers, without a reserve for service requests."""
     monkeypatch.setattr(
-        AllocationIndex, "_bounds", lambda self, allocation, task: list(_capacity(allocation))
+        AllocationIndex,
+        "_usable_capacity",
+        lambda self, allocation, task: list(_capacity(allocation)),
     )
 
 
-def no_account(monkeypatch):
-    """Requests are placed without being accounted."""
+def requests_not_accounted(monkeypatch):
+    """Place requests without accounting for them."""
     take = AllocationIndex.take
 
-    def forgetful(self, worker, item_id, needs, *, task):
+    def take_tasks_only(self, worker, item_id, needs, *, task):
         if task:
             take(self, worker, item_id, needs, task=task)
 
-    monkeypatch.setattr(AllocationIndex, "take", forgetful)
+    monkeypatch.setattr(AllocationIndex, "take", take_tasks_only)
 
 
 def hold_can_start_twice(monkeypatch):
-    """A start does not use up the hold."""
+    """Let a start keep the hold (the reserved place of a task), so that it can start again."""
 
     def start(self, hold_id):
-        held = self._held.get(hold_id)
-        return held.worker if held else None
+        granted = self._granted.get(hold_id)
+        return granted.worker if granted else None
 
     monkeypatch.setattr(OwnerScheduler, "start", start)
 
 
-def place_kept_for_ever(monkeypatch):
-    """What a request took is not given back."""
+def request_place_not_freed(monkeypatch):
+    """Keep the capacity of a request taken after the request has finished."""
     monkeypatch.setattr(OwnerScheduler, "finished", lambda self, item, now, run_time=None: [])
 
 
-def expired_item_forgotten(monkeypatch):
-    """Nobody is told of a request that waited too long."""
+def expired_request_not_refused(monkeypatch):
+    """Drop expired requests from the queue without refusing them."""
     tick = OwnerScheduler.tick
 
-    def silent(self, now):
+    def tick_without_refusals(self, now):
         return [item for item in tick(self, now) if type(item).__name__ != "Refuse"]
 
-    monkeypatch.setattr(OwnerScheduler, "tick", silent)
+    monkeypatch.setattr(OwnerScheduler, "tick", tick_without_refusals)
 
 
 def _capacity(allocation):
@@ -74,17 +76,17 @@
 
 
 @pytest.mark.parametrize(
-    "take_out",
+    "disable_safeguard",
     [
         no_exact_check,
         no_reserve,
-        no_account,
+        requests_not_accounted,
         hold_can_start_twice,
-        place_kept_for_ever,
-        expired_item_forgotten,
+        request_place_not_freed,
+        expired_request_not_refused,
     ],
 )
-def test_oracle_catches(monkeypatch, take_out):
-    take_out(monkeypatch)
+def test_oracle_detects_disabled_safeguard(monkeypatch, disable_safeguard):
+    disable_safeguard(monkeypatch)
     with pytest.raises((AssertionError, KeyError, ValueError)):
         run_state_machine_as_test(OwnerMachine, settings=SETTINGS)
--- a/anvilflow/decisions/tests/test_owner.py
+++ b/anvilflow/decisions/tests/test_owner.py
@@ -1,4 +1,7 @@
-"""Cases of the owner's book that runs under faults have found."""
+"""Regression tests of the owner's scheduler for faults found by chaos runs.
+
+A hold is the reservation of a place on a worker for one attempt of a task.
+"""
 
 from anvilflow.decisions import Hold, HoldGranted, OwnerScheduler, WorkerAllocation
 from anvilflow.resources import Amounts
@@ -12,11 +15,11 @@
     return Hold(hold_id=hold_id, customer="large", needs=NEEDS, age=1)
 
 
-def test_waiting_ask_of_a_running_task_does_not_free_its_place():
-    """An ask waits at an owner for a task that meanwhile runs on the worker it takes over.
+def test_queued_hold_of_a_running_task_does_not_free_its_place():
+    """A hold is still queued when its owner takes over the worker on which the task already runs.
 
-    The coordinator gives the ask up. Were it granted on the place that the task has, giving it up
-    would free that place and the worker would be given more than it holds. (Chaos seed 863.)
+    If the hold were granted on the task's own place, its release by the coordinator would free
+    that place, and the worker would get more work than it has capacity for. (Chaos seed 863.)
     """
     scheduler = OwnerScheduler(reserve=0.0)
     scheduler.add_worker(WorkerAllocation(worker="w1", capacity=CAPACITY), 0.0)
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -356,7 +356,7 @@
         for request_id in gone_candidates - set(report.requests):
             owned.foreign.discard(request_id)
             owned.overdue.pop(request_id, None)
-            self._act(self._scheduler.release_foreign(name, request_id, now))
+            self._act(self._scheduler.release_untracked_request(name, request_id, now))
 
     def _lost(self, owned, hold_id):
         owned.bars.discard(hold_id)
