--- a/anvilflow/decisions/_allocations.py
+++ b/anvilflow/decisions/_allocations.py
@@ -21,7 +21,9 @@
 
 
 class WorkerAllocation:
-    """Capacity of one worker and the items (requests, tasks, holds) that take parts of it.
+    """Capacity of one worker and the items that take parts of it.
+
+    An item is a service request, a task, or a hold: a place reserved for one attempt of a task.
 
     Parameters
     ----------
@@ -36,7 +38,7 @@
     bit : int
         Bit set that contains only this worker.
     taken : dict of str to (list of int, bool)
-        Amounts that each item takes, and whether the item is a task or a hold for one.
+        Amounts that each item takes, and whether the item is a task or hold.
     free : list of int
         Amounts free for service requests, in the order of ``RESOURCE_NAMES``, like the next three.
     task_capacity : list of int
--- a/anvilflow/decisions/_fair_queue.py
+++ b/anvilflow/decisions/_fair_queue.py
@@ -27,7 +27,7 @@
     deadline : float
         Time after which ``FairQueue.expire`` removes the item. Unit: seconds.
     value : object
-        Payload of the caller; the queue does not use it.
+        Object of the caller; the queue does not use it.
     """
 
     item_id: str
--- a/anvilflow/decisions/_messages.py
+++ b/anvilflow/decisions/_messages.py
@@ -13,7 +13,7 @@
 
 
 class RefuseReason(StrEnum):
-    """Reason for which a request was not run, or a hold was not granted."""
+    """Reason why a request was certainly not run, or why a hold was not granted."""
 
     QUEUE_FULL = "queue_full"
     DEADLINE = "deadline"
--- a/anvilflow/decisions/_owner.py
+++ b/anvilflow/decisions/_owner.py
@@ -42,8 +42,8 @@
 class OwnerScheduler:
     """Scheduler of one owner: its queues, and the capacity in use on its workers.
 
-    Methods that change state return a list of messages (see :mod:`._messages`) for the caller to
-    carry out.
+    Unless stated otherwise, methods that change state return a list of messages, defined in
+    ``_messages``, for the caller to carry out.
 
     Parameters
     ----------
@@ -367,7 +367,10 @@
         return None
 
     def _refuse_all_queued(self):
-        """Refuse all queued requests and holds, since this owner has no open worker left."""
+        """Refuse all queued requests and holds.
+
+        Called when this owner has no open worker left. Other owners now have the open workers.
+        """
         out = [
             self._make_refusal(item.value, RefuseReason.NO_WORKER) for item in self._queue.clear()
         ]
--- a/anvilflow/decisions/tests/test_owner.py
+++ b/anvilflow/decisions/tests/test_owner.py
@@ -16,7 +16,7 @@
 
 
 def test_queued_hold_of_a_running_task_does_not_free_its_place():
-    """A hold is still queued when its owner takes over the worker on which the task already runs.
+    """A hold is still queued at an owner that takes over the worker on which its task runs.
 
     If the hold were granted on the task's own place, its release by the coordinator would free
     that place, and the worker would get more work than it has capacity for. (Chaos seed 863.)
