--- a/anvilflow/settings/_model.py
+++ b/anvilflow/settings/_model.py
@@ -45,17 +45,17 @@
         Meta(
             ge=1024,
             le=MAX_COUNT,
-            description="Largest body of a request or response. Unit: bytes.",
+            description="Largest body of a request or an answer. Unit: bytes.",
         ),
     ] = 262_144
     caller_connections: Annotated[
         int, Meta(ge=1, le=MAX_COUNT, description="Open callers' connections.")
     ] = 2_000
     requests_in_flight: Annotated[
-        int, Meta(ge=1, le=MAX_COUNT, description="Requests in progress at one gateway instance.")
+        int, Meta(ge=1, le=MAX_COUNT, description="Requests at one entry instance at once.")
     ] = 4_000
     peer_queue: Annotated[
-        int, Meta(ge=16, le=MAX_COUNT, description="Messages queued for one other instance.")
+        int, Meta(ge=16, le=MAX_COUNT, description="Messages waiting to be sent to one instance.")
     ] = 20_000
     tasks_per_job: Annotated[int, Meta(ge=1, le=MAX_COUNT, description="Tasks of one job.")] = (
         20_000
@@ -65,7 +65,7 @@
         Meta(
             ge=1,
             le=MAX_COUNT,
-            description="Tasks of one customer for which places are requested at the same time.",
+            description="Tasks of one customer for which places are asked at once.",
         ),
     ] = 64
 
@@ -74,67 +74,55 @@
     """Periods, time-outs and deadlines."""
 
     heartbeat_s: Annotated[
-        float, Meta(ge=0.02, le=5, description="Period of heartbeats to a peer. Unit: seconds.")
+        float, Meta(ge=0.02, le=5, description="Between heartbeats to a peer. Unit: seconds.")
     ] = 0.25
     suspect_s: Annotated[
         float,
-        Meta(
-            ge=0.1,
-            le=60,
-            description="Time without messages after which a peer is suspected. Unit: seconds.",
-        ),
+        Meta(ge=0.1, le=60, description="Silence after which a peer is suspected. Unit: seconds."),
     ] = 1.5
     membership_poll_s: Annotated[
         float,
-        Meta(ge=0.05, le=60, description="Period of reads of the membership list. Unit: seconds."),
+        Meta(ge=0.05, le=60, description="Between reads of the membership list. Unit: seconds."),
     ] = 1.0
     config_poll_s: Annotated[
         float,
         Meta(
             ge=0.05,
             le=60,
-            description="Period of reads of the configuration revision. Unit: seconds.",
+            description="Between reads of the configuration revision. Unit: seconds.",
         ),
     ] = 2.0
     worker_sync_s: Annotated[
         float,
         Meta(
-            ge=0.05,
-            le=30,
-            description="Period of reports and lease renewals of one worker. Unit: seconds.",
+            ge=0.05, le=30, description="Between reports and renewals of one worker. Unit: seconds."
         ),
     ] = 0.5
     idle_sync_s: Annotated[
         float,
-        Meta(
-            ge=0.05, le=30, description="The same period for a worker without tasks. Unit: seconds."
-        ),
+        Meta(ge=0.05, le=30, description="The same for a worker without tasks. Unit: seconds."),
     ] = 2.0
     worker_timeout_s: Annotated[
         float,
         Meta(
             ge=0.1,
             le=60,
-            description="Time-out of a control call to a worker. Unit: seconds.",
+            description="Wait for a worker's answer to a control call. Unit: seconds.",
         ),
     ] = 2.0
     platform_timeout_s: Annotated[
-        float, Meta(ge=0.1, le=60, description="Time-out of a call to the platform. Unit: seconds.")
+        float, Meta(ge=0.1, le=60, description="Wait for the platform's answer. Unit: seconds.")
     ] = 2.0
     default_deadline_s: Annotated[
         float,
-        Meta(
-            ge=0.05,
-            le=600,
-            description="Deadline of a request that does not set one. Unit: seconds.",
-        ),
+        Meta(ge=0.05, le=600, description="Deadline of a request that names none. Unit: seconds."),
     ] = 10.0
     hold_s: Annotated[
         float,
         Meta(
             ge=0.2,
             le=60,
-            description="Longest wait of a task's hold before a new request. Unit: seconds.",
+            description="Longest wait of a task's hold before it is asked anew. Unit: seconds.",
         ),
     ] = 3.0
     drain_s: Annotated[
@@ -154,7 +142,7 @@
         float, Meta(ge=1, le=3600, description="Lease of a running task. Unit: seconds.")
     ] = 15.0
     clock_drift: Annotated[
-        float, Meta(ge=0, le=0.1, description="Largest relative difference in rate of two clocks.")
+        float, Meta(ge=0, le=0.1, description="Largest rate by which two clocks differ.")
     ] = 0.01
 
 
@@ -170,9 +158,7 @@
     backoff_max_s: Annotated[
         float,
         Meta(
-            ge=0.1,
-            le=60,
-            description="Longest back-off between attempts during an outage. Unit: seconds.",
+            ge=0.1, le=60, description="Longest wait between attempts in an outage. Unit: seconds."
         ),
     ] = 2.0
 
