--- a/anvilflow/resources/__init__.py
+++ b/anvilflow/resources/__init__.py
@@ -1,4 +1,4 @@
-"""Declared resources: what operators keep in version control and what jobs record."""
+"""Resources that operators declare (workloads, policies, customers), and jobs."""
 
 from ._amounts import RESOURCE_NAMES, Amounts
 from ._catalog import Catalog, Change, check_references
--- a/anvilflow/resources/_amounts.py
+++ b/anvilflow/resources/_amounts.py
@@ -1,4 +1,4 @@
-"""Amounts of what a worker offers and a task takes."""
+"""Amounts of resources that a worker offers or a task takes."""
 
 from typing import Annotated
 
@@ -29,7 +29,7 @@
     accelerators : int, default=0
         Whole accelerators.
     slots : int, default=1
-        Places for requests and tasks.
+        Places for requests and tasks; each of them takes one unless declared otherwise.
 
     Examples
     --------
@@ -44,7 +44,7 @@
     slots: _Count = 1
 
     def fits(self, room):
-        """Whether `room` holds these amounts."""
+        """Whether these amounts fit into `room`, the free amounts."""
         return (
             self.cpu_milli <= room.cpu_milli
             and self.memory_mb <= room.memory_mb
@@ -53,11 +53,11 @@
         )
 
     def lacking(self, room):
-        """Return the names of the resources that `room` has too little of."""
+        """Return the names of the resources of which `room`, the free amounts, has too little."""
         return [name for name in RESOURCE_NAMES if getattr(self, name) > getattr(room, name)]
 
     def plus(self, other):
-        """Return the sum."""
+        """Return the sum of both amounts."""
         return Amounts(
             cpu_milli=self.cpu_milli + other.cpu_milli,
             memory_mb=self.memory_mb + other.memory_mb,
@@ -79,8 +79,8 @@
 
         Notes
         -----
-        The measure of dominant resource fairness (Ghodsi et al., NSDI 2011): two customers that
-        need different resources are compared by the one that each needs most of.
+        This is the measure of dominant resource fairness (Ghodsi et al., NSDI 2011): customers that
+        need different resources are compared by the resource of which each needs the largest share.
         """
         share = 0.0
         if capacity.cpu_milli:
--- a/anvilflow/resources/_catalog.py
+++ b/anvilflow/resources/_catalog.py
@@ -1,4 +1,4 @@
-"""The resources in force at one revision."""
+"""Catalog of the declared resources and jobs at one revision of the configuration."""
 
 from msgspec import Struct
 
@@ -7,7 +7,7 @@
 
 
 class Change(Struct, kw_only=True):
-    """One change of one resource; `value` is None for a deletion."""
+    """A change of one resource; `value` is None for a deletion."""
 
     revision: int
     key: str
@@ -15,11 +15,11 @@
 
 
 class Catalog:
-    """Resources by key, brought forward one revision at a time.
+    """Resources by key, updated one revision at a time.
 
-    A change is applied only when it carries exactly the next revision. An instance that reads
-    slowly, restarts or hears an old hint can thereby never go back to an older configuration,
-    and can never skip a change in between.
+    A change is applied only if its revision is exactly the next one. An instance that reads slowly,
+    restarts or receives an old notification can therefore neither return to an older configuration
+    nor skip a change.
     """
 
     __slots__ = ("_items", "_revision", "_revisions")
@@ -38,7 +38,7 @@
         return len(self._items)
 
     def apply(self, change):
-        """Apply the next change; return False when it is old or comes too early."""
+        """Apply the next change; return False if it is old or if changes before it are missing."""
         if change.revision != self._revision + 1:
             return False
         if change.value is None:
@@ -51,7 +51,7 @@
         return True
 
     def load(self, revision, items):
-        """Replace everything by a listing read at `revision`; refuse an older one."""
+        """Replace all resources by a listing read at `revision`; return False if it is older."""
         if revision < self._revision:
             return False
         self._items = {key: parse_resource(value) for key, (_, value) in items.items()}
@@ -60,11 +60,11 @@
         return True
 
     def get(self, key):
-        """Return the resource at `key` or None."""
+        """Return the resource at `key`, or None if there is none."""
         return self._items.get(key)
 
     def revision_of(self, key):
-        """Return the revision at which the resource was last written, 0 when there is none."""
+        """Return the revision at which the resource was last written, 0 if there is no resource."""
         return self._revisions.get(key, 0)
 
     def keys(self, prefix=""):
@@ -72,11 +72,11 @@
         return sorted(key for key in self._items if key.startswith(prefix))
 
     def customer(self, name):
-        """Return the customer `name`; AF201 when it is not declared."""
+        """Return the customer `name`; raise AF201 if it is not declared."""
         return self._require(f"Customer/{name}", Customer)
 
     def workload(self, name):
-        """Return the workload `name`; AF201 when it is not declared."""
+        """Return the workload `name`; raise AF201 if it is not declared."""
         return self._require(f"Workload/{name}", Workload)
 
     def policy_of(self, workload):
@@ -99,7 +99,7 @@
 
 
 def check_references(resource, catalog):
-    """Raise AF102 when `resource` names another that is missing or of another kind of work."""
+    """Raise AF102 if `resource` refers to one that is missing or of the wrong kind of work."""
     match resource:
         case Workload():
             _check_policy(resource, catalog)
--- a/anvilflow/resources/_declarations.py
+++ b/anvilflow/resources/_declarations.py
@@ -1,4 +1,4 @@
-"""Kinds of resources and their checks."""
+"""Kinds of resources, their schemas and checks."""
 
 from enum import StrEnum
 from typing import Annotated
@@ -12,7 +12,7 @@
 
 
 class WorkKind(StrEnum):
-    """The three kinds of work, which want different policies."""
+    """Kinds of work, each with its own kind of policy."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -20,7 +20,7 @@
 
 
 class JobPhase(StrEnum):
-    """Where a job stands."""
+    """Phase of a job."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -33,7 +33,7 @@
 class _Declared(
     Struct, kw_only=True, forbid_unknown_fields=True, repr_omit_defaults=True, tag_field="kind"
 ):
-    """Base of declared resources, told apart by their key ``kind``."""
+    """Base class of resources; the key ``kind`` names the class of each."""
 
 
 class ServicePolicy(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True, tag="service"):
@@ -42,13 +42,14 @@
     Parameters
     ----------
     queue_limit : int, default=256
-        Requests of one customer that wait at one instance; more are answered "not run" at once.
+        Largest number of requests of one customer that wait at one instance. Further requests are
+        answered with "not run" at once.
     customer_share : float, default=0.75
-        Largest share of the slots not taken by tasks that one customer's requests take at one
-        instance, so that a slot is free when another customer's request arrives.
+        Of the slots of one instance that tasks do not take, the largest share that requests of one
+        customer take, so that a slot is free when a request of another customer arrives.
     reserve : float, default=0.25
         Share of each worker that batch and gang tasks leave free for service requests. The
-        largest reserve of all service policies is in force.
+        largest reserve of all service policies applies.
     """
 
     queue_limit: Annotated[int, Meta(ge=1, le=100_000)] = 256
@@ -69,12 +70,13 @@
 
 
 class GangPolicy(Struct, kw_only=True, forbid_unknown_fields=True, frozen=True, tag="gang"):
-    """How jobs are placed whose tasks run all at once or not at all.
+    """How the tasks of gang jobs are placed: they run all at once or not at all.
 
     Parameters
     ----------
     hold_s : float, default=3.0
-        Longest time that held places wait for the rest of the job. Unit: seconds.
+        Longest time for which places reserved for some tasks of a job wait until all of its tasks
+        have one. Unit: seconds.
     max_attempts : int, default=3
         Attempts of a task before its job fails.
     """
@@ -90,7 +92,7 @@
     ----------
     name : str
     rules : ServicePolicy, BatchPolicy or GangPolicy
-        Told apart by the key ``type``.
+        The key ``type`` names the kind of policy.
     """
 
     name: str
@@ -106,7 +108,8 @@
     priority : int, default=100
         Weight in the fair queue; twice the weight gets twice the share under contention.
     quota : Amounts, default=None
-        Most that its jobs' tasks take at once in the whole cell; none: no limit.
+        Largest amounts that the tasks of its jobs take at once in the whole cell. Without a quota
+        there is no limit.
     """
 
     name: str
@@ -115,7 +118,7 @@
 
 
 class Workload(_Declared, tag="Workload"):
-    """A kind of request or task that targets know how to run.
+    """A kind of request or task that targets can run.
 
     Parameters
     ----------
@@ -124,11 +127,11 @@
     policy : str
         Name of a :class:`Policy` of the same kind of work.
     needs : Amounts
-        What one request or task takes. A prior: usage reports correct it.
+        Resources that one request or task takes: an initial estimate, corrected by usage reports.
     run_time_s : float, default=1.0
         Expected run time. Unit: seconds.
     idempotent : bool, default=True
-        Whether a request that may have run can be sent again.
+        Whether a request that may have run already can be sent again.
     """
 
     name: str
@@ -145,14 +148,14 @@
     Parameters
     ----------
     name : str
-        Unique among the customer's jobs; submitting the same job again changes nothing.
+        Unique among the customer's jobs. Submitting the same job again changes nothing.
     customer : str
     workload : str
     tasks : list of str
-        One payload for each task.
+        Payloads, one for each task.
     phase : JobPhase, default="waiting"
     n_done, n_failed : int, default=0
-        Written when the phase changes.
+        Number of tasks that succeeded and that failed, updated when the phase changes.
     reason : str, default=""
         Why the job waits or failed.
     """
@@ -167,7 +170,7 @@
     reason: str = ""
 
 
-#: Kinds that operators declare; jobs are submitted by callers.
+#: Kinds of resources that operators declare. Jobs are submitted by callers.
 DECLARED_KINDS = {"Workload": Workload, "Policy": Policy, "Customer": Customer}
 
 _ALL_KINDS = {**DECLARED_KINDS, "Job": Job}
@@ -175,12 +178,12 @@
 
 
 def parse_resource(value):
-    """Return the checked resource in `value`, a decoded JSON object.
+    """Return the resource in `value`, a decoded JSON object, after checks.
 
     Raises
     ------
     DeclarationError
-        AF102, with the path of the key and what is allowed.
+        AF102, with the path of the invalid key and the allowed values.
 
     Examples
     --------
@@ -195,7 +198,7 @@
 
 
 def check_resource(resource):
-    """Raise AF102 unless the resource's names are well formed; return it."""
+    """Return the resource; raise AF102 if one of its names is malformed or a job has no tasks."""
     check_name(resource.name, "$.name")
     match resource:
         case Workload():
@@ -204,12 +207,12 @@
             check_name(resource.customer, "$.customer")
             check_name(resource.workload, "$.workload")
             if not resource.tasks:
-                raise DeclarationError("$.tasks: a job has at least one task")
+                raise DeclarationError("$.tasks: the job has 0 tasks; allowed: at least 1")
     return resource
 
 
 def resource_key(resource):
-    """Return the key under which the resource is kept: ``KIND/NAME`` or ``Job/CUSTOMER/NAME``."""
+    """Return the key that identifies the resource: ``KIND/NAME`` or ``Job/CUSTOMER/NAME``."""
     match resource:
         case Job(customer=customer, name=name):
             return f"Job/{customer}/{name}"
--- a/anvilflow/resources/tests/test_resources.py
+++ b/anvilflow/resources/tests/test_resources.py
@@ -1,4 +1,4 @@
-"""Declarations: checks, references and the catalog's one-way revisions."""
+"""Checks of declarations and references, and the order of revisions in the catalog."""
 
 import pytest
 
@@ -43,7 +43,7 @@
 
 
 def test_catalog_never_goes_back_and_skips_nothing():
-    """Old, repeated and early changes come in, as from a slow reader or an old hint."""
+    """Old, repeated and early changes arrive from a slow reader or an old notification."""
     catalog = make_catalog()
     at = catalog.revision
     value = {"kind": "Customer", "name": "small", "priority": 7}
