--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -110,7 +110,7 @@
         key = (action.task, action.run_id)
         if key in self._under_way:
             self._under_way.remove(key)
-            self.window.n_under_way -= 1
+            self.window.n_in_flight -= 1
             self.send_due()
 
     def send_due(self):
@@ -143,6 +143,6 @@
                 self._drop(start)
                 continue
             self._under_way.add((start.task, start.run_id))
-            self.window.n_under_way += 1
+            self.window.n_in_flight += 1
             self._sent_at.append(now)
             self._send(start, now - group.added_at)
--- a/anvilflow/decisions/__init__.py
+++ b/anvilflow/decisions/__init__.py
@@ -1,14 +1,18 @@
-"""Pure decisions: inputs and time in, messages out; no I/O and no clock."""
+"""Scheduling decisions without I/O and without a clock.
+
+The classes get events and the time as arguments. They return the messages to send and the records
+to write; the caller does both.
+"""
 
 from ._allocations import AllocationIndex, WorkerAllocation
 from ._fair_queue import FairQueue, QueuedItem
 from ._job_coordinator import (
     AckTask,
     AskHold,
-    EndJob,
     JobCoordinator,
     RecordEnd,
     RecordIntent,
+    RecordPhase,
     ReleaseHold,
     StartTask,
     StopTask,
@@ -54,6 +58,7 @@
     "QueuedItem",
     "RecordEnd",
     "RecordIntent",
+    "RecordPhase",
     "Refuse",
     "RefuseReason",
     "ReleaseHold",
--- a/anvilflow/decisions/_job_coordinator.py
+++ b/anvilflow/decisions/_job_coordinator.py
@@ -1,4 +1,10 @@
-"""What the coordinator of a customer's jobs decides: which tasks to place, start, repeat, end."""
+"""Decisions of the coordinator of a customer's jobs: place, start, retry and end tasks.
+
+Each attempt of a task needs a hold before it starts: a place on a worker, reserved for this one
+attempt. The coordinator requests the hold from an owner, an instance that schedules some of the
+workers. Once the hold is granted and the intent to run the attempt there is recorded, the attempt
+starts.
+"""
 
 from collections import deque
 from enum import StrEnum
@@ -8,19 +14,20 @@
 from ..resources import Amounts, JobPhase
 from ._messages import Hold, RefuseReason
 
-#: Wait before a place is asked again after a refusal, doubled each time. Unit: seconds.
-_FIRST_BACKOFF = 0.1
-_MAX_BACKOFF = 5.0
+#: Wait before a hold is requested again after a refusal: the base is doubled with each refusal of
+#: the task, the first one included. Unit: seconds.
+_BACKOFF_BASE_S = 0.1
+_MAX_BACKOFF_S = 5.0
 
-#: Silence of an owner after which its answer to an ask is no longer awaited, in hold times.
-_SILENT_HOLDS = 2
+#: Time without an answer after which a hold request is given up. Unit: multiples of `hold_s`.
+_ASK_TIMEOUT_FACTOR = 2
 
-#: Largest factor by which a gang's time to collect its places grows over its tries.
+#: Largest factor by which the time that a gang has to collect its holds grows over its tries.
 _MAX_COLLECT_FACTOR = 16
 
 
 class TaskState(StrEnum):
-    """Where one attempt of a task stands."""
+    """State of one attempt of a task."""
 
     PENDING = "pending"
     ASKED = "asked"
@@ -32,7 +39,7 @@
 
 
 class AskHold(Struct, kw_only=True):
-    """Ask an owner for a place; `again` keeps an ask alive at the same owner."""
+    """Request a hold from an owner; with `again`, renew it at the owner that has it."""
 
     hold: Hold
     workload: str
@@ -40,13 +47,13 @@
 
 
 class ReleaseHold(Struct, kw_only=True):
-    """Give up a place."""
+    """Release a hold."""
 
     hold_id: str
 
 
 class RecordIntent(Struct, kw_only=True):
-    """Write down, before anything starts, where each of the attempts will run."""
+    """Record on which worker each of the attempts will run, before any of them starts."""
 
     customer: str
     job: str
@@ -54,7 +61,7 @@
 
 
 class StartTask(Struct, kw_only=True):
-    """Start an attempt whose place is held and whose intent is recorded."""
+    """Start an attempt whose hold is granted and whose intent is recorded."""
 
     hold_id: str
     workload: str
@@ -62,14 +69,14 @@
 
 
 class StopTask(Struct, kw_only=True):
-    """Stop an attempt wherever it is; it must not start later either."""
+    """Stop an attempt; one that has not started yet must not start later."""
 
     hold_id: str
     worker: str
 
 
 class RecordEnd(Struct, kw_only=True):
-    """Write down how a task ended."""
+    """Record how a task ended."""
 
     customer: str
     job: str
@@ -81,13 +88,13 @@
 
 
 class AckTask(Struct, kw_only=True):
-    """Let the worker forget an attempt whose end needs no record."""
+    """Acknowledge an ended attempt whose end needs no record, so that the worker can discard it."""
 
     hold_id: str
 
 
-class EndJob(Struct, kw_only=True):
-    """Write down the job's new phase."""
+class RecordPhase(Struct, kw_only=True):
+    """Record a new phase of the job: running or ended."""
 
     customer: str
     job: str
@@ -98,7 +105,7 @@
 
 
 class _Task:
-    """One task and its present attempt."""
+    """One task and its current attempt."""
 
     __slots__ = ("asked_at", "attempt", "index", "n_refused", "not_before", "state", "worker")
 
@@ -113,7 +120,7 @@
 
 
 class _JobRun:
-    """A job at its coordinator."""
+    """Progress of one job."""
 
     __slots__ = (
         "age",
@@ -151,41 +158,46 @@
         self.collect_factor = 1
 
     @property
-    def over(self):
+    def is_over(self):
         """Whether no task is left to run."""
         return self.n_done + self.n_failed >= len(self.tasks)
 
     def hold_id(self, task):
-        """Return the identity of the task's present attempt."""
+        """Return the identifier of the hold for the task's current attempt."""
         return f"{self.job.customer}/{self.job.name}/{task.index}/{task.attempt}"
 
 
+#: The attempt's hold is requested or granted, and its intent is not being recorded yet.
 _COLLECTING = {TaskState.ASKED, TaskState.HELD}
+#: States of a task that keep its gang from starting: the task has no granted hold, or it may still
+#: run on the worker of an earlier try.
 _NOT_COLLECTED = {TaskState.PENDING, TaskState.ASKED, TaskState.RECORDING, TaskState.STARTED}
+#: The attempt may run on its worker.
 _BOUND = {TaskState.RECORDING, TaskState.STARTED}
 
 
 class JobCoordinator:
-    """The jobs of one customer.
+    """Coordinates the jobs of one customer.
 
     Parameters
     ----------
     customer : str
     window : int, default=64
-        Tasks for which places are asked at once.
+        Number of hold requests without an answer at which batch jobs make no more requests. Gangs
+        request the holds of all their tasks at once.
     hold_s : float, default=3.0
-        How long an owner keeps an ask or a hold. Unit: seconds.
+        Time for which an owner keeps a hold request or a hold. Unit: seconds.
 
     Notes
     -----
-    One coordinator per customer makes the quota exact without a message: every task of the customer
-    is counted here, from the moment its place is asked until its end is known.
+    With one coordinator per customer, the quota is exact without any messages: each task of the
+    customer counts here from the request of its hold until its end is recorded.
     """
 
     __slots__ = (
         "_by_hold",
         "_jobs",
-        "_n_waiting",
+        "_n_asked",
         "_used",
         "customer",
         "hold_s",
@@ -201,16 +213,16 @@
         self._jobs = {}
         self._by_hold = {}
         self._used = Amounts(slots=0)
-        self._n_waiting = 0
+        self._n_asked = 0
 
     @property
     def used(self):
-        """What the customer's tasks take of its quota."""
+        """Amounts of the customer's quota that its tasks use."""
         return self._used
 
     @property
     def n_jobs(self):
-        """Number of jobs that are not over."""
+        """Number of jobs whose end is not recorded yet."""
         return len(self._jobs)
 
     def __contains__(self, job):
@@ -219,20 +231,20 @@
     # Inputs: jobs
 
     def add_job(self, job, *, age, needs, gang, max_attempts, weight, now, records=()):
-        """Take on a job.
+        """Add a job that was just submitted, or one that another instance coordinated.
 
         Parameters
         ----------
         job : Job
         age : int
-            Revision at which it was submitted.
+            Revision at which the job was submitted.
         needs : Amounts
-            What one task takes.
+            Resources that one task takes.
         gang : bool
         max_attempts, weight : int
         now : float
         records : iterable of (int, int, str, str)
-            Index, attempt, state and worker of each task that was recorded before.
+            Index, attempt, state and worker of each task that has a record.
         """
         if job.name in self._jobs:
             return []
@@ -247,7 +259,7 @@
         return out + self._end_if_over(run) + self.tick(now)
 
     def cancel_job(self, name):
-        """Stop a job: release what is held, stop what runs, start nothing more."""
+        """Cancel a job: release its holds, stop its running tasks, start no others."""
         run = self._jobs.get(name)
         if run is None or (run.phase is JobPhase.CANCELLING and run.ending):
             return []
@@ -258,7 +270,7 @@
             match task.state:
                 case TaskState.ASKED | TaskState.HELD:
                     out.append(ReleaseHold(hold_id=run.hold_id(task)))
-                    self._unplace(run, task)
+                    self._drop_hold(run, task)
                     self._fail_task(run, task)
                 case TaskState.PENDING:
                     self._fail_task(run, task)
@@ -267,52 +279,55 @@
         return out + self._end_if_over(run)
 
     def phase_recorded(self, name, phase):
-        """Note that the job's phase is durable."""
+        """Process that the job's phase is durable: remove a job that has ended."""
         if phase in (JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED):
             self._jobs.pop(name, None)
 
-    # Inputs: places
+    # Inputs: holds
 
     def hold_granted(self, hold_id, worker, now):
-        """A place is held."""
+        """Process a granted hold; release one that is no longer needed."""
         run, task = self._find(hold_id)
         if task is None or task.state not in _COLLECTING:
-            return [] if self._is_bound(task) else [ReleaseHold(hold_id=hold_id)]
+            return [] if self._is_past_collecting(task) else [ReleaseHold(hold_id=hold_id)]
         if task.state is TaskState.ASKED:
-            self._n_waiting -= 1
+            self._n_asked -= 1
         task.state = TaskState.HELD
         task.worker = worker
         task.asked_at = now
         if run.gang:
-            return self._collected(run)
-        return [self._record(run, [task])]
+            return self._record_gang_if_complete(run)
+        return [self._record_intent(run, [task])]
 
     def hold_refused(self, hold_id, reason, now):
-        """No place is held, or a held one was taken away."""
+        """Process a refused, revoked or expired hold.
+
+        The hold is requested again after a back-off, or at the next tick if it expired.
+        """
         run, task = self._find(hold_id)
         if task is None or task.state not in _COLLECTING:
             return []
         run.last_refusal = str(reason)
-        self._unplace(run, task)
+        self._drop_hold(run, task)
         task.n_refused += 1
         wait = (
-            0.0 if reason == RefuseReason.EXPIRED else _FIRST_BACKOFF * 2 ** min(task.n_refused, 8)
+            0.0 if reason == RefuseReason.EXPIRED else _BACKOFF_BASE_S * 2 ** min(task.n_refused, 8)
         )
-        task.not_before = now + min(_MAX_BACKOFF, wait)
+        task.not_before = now + min(_MAX_BACKOFF_S, wait)
         run.pending.append(task)
         return []
 
     # Inputs: records and runs
 
-    def intent_recorded(self, customer_job, hold_ids):
-        """The intents are durable: start."""
+    def intent_recorded(self, name, hold_ids):
+        """Process that the intents of the job's attempts are durable: start the attempts."""
         out = []
         for hold_id in hold_ids:
             run, task = self._find(hold_id)
             if task is None or task.state is not TaskState.RECORDING:
                 continue
             if run.phase is JobPhase.CANCELLING:
-                out += self._lose(run, task)
+                out += self._end_lost_attempt(run, task)
                 out.append(ReleaseHold(hold_id=hold_id))
                 continue
             task.state = TaskState.STARTED
@@ -323,19 +338,19 @@
                     payload=run.job.tasks[task.index],
                 )
             )
-        run = self._jobs.get(customer_job)
+        run = self._jobs.get(name)
         if run is not None and run.phase is JobPhase.WAITING:
             run.phase = JobPhase.RUNNING
-            out.append(self._phase(run, JobPhase.RUNNING))
+            out.append(self._make_phase_change(run, JobPhase.RUNNING))
         return out
 
     def task_ended(self, hold_id, ok, result):
-        """The worker says that the attempt ended."""
+        """Process a worker's report that the attempt ended: retry the task or record its end."""
         run, task = self._find(hold_id)
         if task is None or task.state not in _BOUND:
             return []
         if not ok and task.attempt < run.max_attempts and run.phase is not JobPhase.CANCELLING:
-            return [AckTask(hold_id=hold_id), *self._again(run, task)]
+            return [AckTask(hold_id=hold_id), *self._retry_task(run, task)]
         task.state = TaskState.ENDING
         return [
             RecordEnd(
@@ -350,19 +365,19 @@
         ]
 
     def task_lost(self, hold_id):
-        """The attempt certainly does not run and never will; it left no result."""
+        """Process the loss of an attempt: it does not run, cannot start later and has no result."""
         run, task = self._find(hold_id)
         if task is None or task.state not in _BOUND:
             return []
-        return self._lose(run, task)
+        return self._end_lost_attempt(run, task)
 
     def end_recorded(self, hold_id, ok):
-        """The task's end is durable."""
+        """Process that the task's end is durable."""
         run, task = self._find(hold_id)
         if task is None or task.state is not TaskState.ENDING:
             return []
         self._by_hold.pop(hold_id)
-        self._give_back(run)
+        self._release_quota(run)
         task.state = TaskState.ENDED
         if ok:
             run.n_done += 1
@@ -371,7 +386,10 @@
         return self._end_if_over(run)
 
     def tick(self, now):
-        """Ask for places, keep asks alive, give up what takes too long."""
+        """Request holds, renew those of gangs, and give up requests that take too long.
+
+        Gangs collect their holds one at a time, the oldest job first.
+        """
         out = []
         gang_asking = False
         for run in sorted(self._jobs.values(), key=lambda run: run.age):
@@ -388,7 +406,7 @@
     # Outputs
 
     def bound_tasks(self):
-        """Return the worker of each attempt that may run, by hold."""
+        """Return the worker of each attempt that may run, by identifier of its hold."""
         return {
             hold_id: task.worker
             for hold_id, (_, task) in self._by_hold.items()
@@ -396,7 +414,7 @@
         }
 
     def why_waiting(self, name):
-        """Return why the job's tasks wait, in words that an operator can act on."""
+        """Return the reason why the job's tasks wait, for operators; empty if none waits."""
         run = self._jobs.get(name)
         if run is None:
             return ""
@@ -411,14 +429,14 @@
         if run.gang:
             held = sum(task.state is TaskState.HELD for task in run.tasks)
             return f"gang holds {held} of {len(run.tasks)} places; the cell has no room for more"
-        if self._n_waiting >= self.window:
+        if self._n_asked >= self.window:
             return (
                 f"{self.window} places are being asked for at once; the cell has no room for more"
             )
         return "the cell has no room for the next task now"
 
     def status(self, name):
-        """Return the job's counts by task state."""
+        """Return the job's phase, number of tasks by state and reason for waiting."""
         run = self._jobs.get(name)
         if run is None:
             return None
@@ -428,12 +446,12 @@
         return {"phase": run.phase.value, "tasks": states, "why": self.why_waiting(name)}
 
     def is_gang(self, name):
-        """Whether the job's tasks run all at once."""
+        """Whether the job is a gang: its tasks run all at once or not at all."""
         run = self._jobs.get(name)
         return run is not None and run.gang
 
     def is_ending(self, hold_id):
-        """Whether the attempt's end is being written down."""
+        """Whether the attempt's end is being recorded."""
         _, task = self._find(hold_id)
         return task is not None and task.state is TaskState.ENDING
 
@@ -462,7 +480,7 @@
     def _find(self, hold_id):
         return self._by_hold.get(hold_id, (None, None))
 
-    def _is_bound(self, task):
+    def _is_past_collecting(self, task):
         return task is not None and task.state not in _COLLECTING
 
     def _quota_allows(self, run, n_tasks):
@@ -482,15 +500,18 @@
     def _tick_batch(self, run, now):
         out = []
         for _ in range(len(run.pending)):
-            if self._n_waiting >= self.window or not self._quota_allows(run, 1):
+            if self._n_asked >= self.window or not self._quota_allows(run, 1):
                 break
             task = run.pending.popleft()
             if task.not_before > now:
                 run.pending.append(task)
                 continue
-            out.append(self._ask(run, task, now))
-        for task in run.tasks if self._n_waiting else ():
-            if task.state is TaskState.ASKED and now - task.asked_at > _SILENT_HOLDS * self.hold_s:
+            out.append(self._ask_hold(run, task, now))
+        for task in run.tasks if self._n_asked else ():
+            if (
+                task.state is TaskState.ASKED
+                and now - task.asked_at > _ASK_TIMEOUT_FACTOR * self.hold_s
+            ):
                 out.append(ReleaseHold(hold_id=run.hold_id(task)))
                 self.hold_refused(run.hold_id(task), RefuseReason.EXPIRED, now)
         return out
@@ -500,7 +521,7 @@
         if run.collect_since is not None and collecting:
             if now - run.collect_since > self.hold_s * run.collect_factor:
                 return self._give_up_collecting(run, collecting, now)
-            out = self._keep_alive(run, collecting, now)
+            out = self._renew_holds(run, collecting, now)
         else:
             out = []
         ready = [task for task in run.pending if task.not_before <= now]
@@ -512,43 +533,43 @@
             run.collect_since = now
         for task in ready:
             run.pending.remove(task)
-            out.append(self._ask(run, task, now))
+            out.append(self._ask_hold(run, task, now))
         return out
 
-    def _keep_alive(self, run, collecting, now):
-        """Keep held places while the rest is collected.
+    def _renew_holds(self, run, collecting, now):
+        """Renew a gang's holds while the other ones are collected.
 
-        What is only asked is left to expire and asked elsewhere: kept alive, it would wait for
-        ever at an owner whose only worker leaves.
+        Requests without an answer are not renewed: they expire and go to another owner. If they
+        were renewed, they would wait forever at an owner whose only worker leaves.
         """
         out = []
         for task in collecting:
             if task.state is TaskState.HELD and now - task.asked_at >= self.hold_s / 3:
                 task.asked_at = now
-                hold = self._hold(run, task)
+                hold = self._make_hold(run, task)
                 out.append(AskHold(hold=hold, workload=run.job.workload, again=True))
-        silent = _SILENT_HOLDS * self.hold_s
+        ask_timeout_s = _ASK_TIMEOUT_FACTOR * self.hold_s
         for task in collecting:
-            if task.state is TaskState.ASKED and now - task.asked_at > silent:
+            if task.state is TaskState.ASKED and now - task.asked_at > ask_timeout_s:
                 out.append(ReleaseHold(hold_id=run.hold_id(task)))
                 self.hold_refused(run.hold_id(task), RefuseReason.EXPIRED, now)
         return out
 
     def _give_up_collecting(self, run, collecting, now):
-        """Let go of all places, so that others can use them, and try again for longer."""
+        """Release a gang's holds for other jobs; after a wait, try again for a longer time."""
         out = []
         wait = self.hold_s * run.collect_factor / 2
         run.collect_factor = min(_MAX_COLLECT_FACTOR, run.collect_factor * 2)
         run.collect_since = None
         for task in collecting:
             out.append(ReleaseHold(hold_id=run.hold_id(task)))
-            self._unplace(run, task)
+            self._drop_hold(run, task)
             run.pending.append(task)
         for task in run.pending:
             task.not_before = now + wait
         return out
 
-    def _hold(self, run, task):
+    def _make_hold(self, run, task):
         return Hold(
             hold_id=run.hold_id(task),
             customer=self.customer,
@@ -558,36 +579,36 @@
             weight=run.weight,
         )
 
-    def _ask(self, run, task, now):
+    def _ask_hold(self, run, task, now):
         task.state = TaskState.ASKED
         task.asked_at = now
-        self._n_waiting += 1
+        self._n_asked += 1
         self._by_hold[run.hold_id(task)] = (run, task)
         self._used = self._used.plus(run.needs)
-        return AskHold(hold=self._hold(run, task), workload=run.job.workload)
+        return AskHold(hold=self._make_hold(run, task), workload=run.job.workload)
 
-    def _collected(self, run):
-        waiting = [task for task in run.tasks if task.state is TaskState.HELD]
+    def _record_gang_if_complete(self, run):
+        held = [task for task in run.tasks if task.state is TaskState.HELD]
         missing = [task for task in run.tasks if task.state in _NOT_COLLECTED]
-        if missing or not waiting:
+        if missing or not held:
             return []
         run.collect_since = None
-        return [self._record(run, waiting)]
+        return [self._record_intent(run, held)]
 
-    def _record(self, run, tasks):
+    def _record_intent(self, run, tasks):
         for task in tasks:
             task.state = TaskState.RECORDING
         return RecordIntent(customer=self.customer, job=run.job.name, tasks=list(tasks))
 
-    def _unplace(self, run, task):
+    def _drop_hold(self, run, task):
         if task.state is TaskState.ASKED:
-            self._n_waiting -= 1
+            self._n_asked -= 1
         self._by_hold.pop(run.hold_id(task), None)
-        self._give_back(run)
+        self._release_quota(run)
         task.state = TaskState.PENDING
         task.worker = ""
 
-    def _give_back(self, run):
+    def _release_quota(self, run):
         self._used = Amounts(
             cpu_milli=self._used.cpu_milli - run.needs.cpu_milli,
             memory_mb=self._used.memory_mb - run.needs.memory_mb,
@@ -595,9 +616,9 @@
             slots=self._used.slots - run.needs.slots,
         )
 
-    def _again(self, run, task):
-        """Make the next attempt of a task whose last one is certainly over."""
-        self._unplace(run, task)
+    def _retry_task(self, run, task):
+        """Queue the next attempt of a task whose last one certainly does not run any more."""
+        self._drop_hold(run, task)
         task.attempt += 1
         run.pending.append(task)
         if not run.gang:
@@ -605,35 +626,37 @@
         return self._stop_rest_of_gang(run)
 
     def _stop_rest_of_gang(self, run):
-        """Stop the other tasks of a gang: part of it alone would do no useful work."""
+        """Stop the other tasks of a gang: a part of a gang does no useful work."""
         return [
             StopTask(hold_id=run.hold_id(task), worker=task.worker)
             for task in run.tasks
             if task.state in _BOUND
         ]
 
-    def _lose(self, run, task):
+    def _end_lost_attempt(self, run, task):
         if run.phase is JobPhase.CANCELLING:
-            self._unplace(run, task)
+            self._drop_hold(run, task)
             self._fail_task(run, task)
             return self._end_if_over(run)
-        return self._again(run, task)
+        return self._retry_task(run, task)
 
     def _fail_task(self, run, task):
         task.state = TaskState.ENDED
         run.n_failed += 1
 
     def _end_if_over(self, run):
-        if not run.over or run.ending:
+        if not run.is_over or run.ending:
             return []
         run.ending = True
         if run.phase is JobPhase.CANCELLING:
-            return [self._phase(run, JobPhase.CANCELLED)]
-        return [self._phase(run, JobPhase.FAILED if run.n_failed else JobPhase.COMPLETED)]
+            return [self._make_phase_change(run, JobPhase.CANCELLED)]
+        return [
+            self._make_phase_change(run, JobPhase.FAILED if run.n_failed else JobPhase.COMPLETED)
+        ]
 
-    def _phase(self, run, phase):
+    def _make_phase_change(self, run, phase):
         reason = f"{run.n_failed} of {len(run.tasks)} tasks failed" if run.n_failed else ""
-        return EndJob(
+        return RecordPhase(
             customer=self.customer,
             job=run.job.name,
             phase=phase,
--- a/anvilflow/decisions/_message_age.py
+++ b/anvilflow/decisions/_message_age.py
@@ -1,11 +1,12 @@
-"""How long messages have been on their way between two clocks that are not shared."""
+"""Estimates of message delays between two processes whose clocks are not synchronized."""
 
 
 class MessageAge:
-    """Estimates delays from the difference of two steady clocks.
+    """Estimates message delays from the difference of two monotonic clocks.
 
-    The smallest difference seen stands for a message without delay. Until one comes over an empty
-    link, delays are underestimated by the delay of the quickest message so far.
+    The smallest difference so far is taken for that of a message without delay. Delays are
+    therefore underestimated by the delay of the quickest message so far, until a message arrives
+    over an idle link.
 
     Examples
     --------
@@ -16,19 +17,21 @@
     0.5
     """
 
-    __slots__ = ("_least",)
+    __slots__ = ("_min_difference",)
 
     def __init__(self):
-        self._least = None
+        self._min_difference = None
 
     def note(self, sent_at, received_at):
-        """Return for how long a message was on its way, by the clocks of both ends.
+        """Add a message and return the estimate of its delay. Unit: seconds.
 
         Parameters
         ----------
         sent_at, received_at : float
-            On the sender's clock and on the receiver's. Unit: seconds.
+            Time on the sender's clock and on the receiver's clock. Unit: seconds.
         """
         difference = received_at - sent_at
-        self._least = difference if self._least is None else min(self._least, difference)
-        return difference - self._least
+        self._min_difference = (
+            difference if self._min_difference is None else min(self._min_difference, difference)
+        )
+        return difference - self._min_difference
--- a/anvilflow/decisions/_round_trip.py
+++ b/anvilflow/decisions/_round_trip.py
@@ -1,17 +1,17 @@
-"""How long answers take, and when one that has not come is late."""
+"""Adaptive time limits for calls, estimated from round-trip times."""
 
 from msgspec import Struct
 
 
 class RoundTripSettings(Struct, kw_only=True, frozen=True):
-    """How an estimate follows what is measured.
+    """Settings of a :class:`RoundTrip`.
 
     Parameters
     ----------
     mean_share, deviation_share : float, default=1/8 and 1/4
-        Weight of the newest time in the mean and in the deviation.
+        Weight of the newest round-trip time in the mean and in the deviation.
     n_deviations : float, default=4
-        Deviations above the mean from which an answer is late.
+        Number of deviations by which the time limit is above the mean.
     first_s : float, default=0.4
         Time limit before the first answer. Unit: seconds.
     longest_s : float, default=1.5
@@ -26,10 +26,10 @@
 
 
 class RoundTrip:
-    """Smoothed mean and deviation of the time until answers come, as in RFC 6298.
+    """Smoothed mean and deviation of round-trip times, and a time limit from both, as in RFC 6298.
 
-    A fixed time limit takes a full link for a silent other end: each answer that comes later than
-    it is asked for once more, and what is asked again keeps the link full.
+    A fixed time limit cannot distinguish a full link from an unresponsive peer: each call whose
+    answer takes longer than the limit is sent again, and these retries keep the link full.
 
     Parameters
     ----------
@@ -56,11 +56,11 @@
 
     @property
     def mean_s(self):
-        """Smoothed time until an answer comes, 0 before the first one. Unit: seconds."""
+        """Smoothed round-trip time, 0 before the first answer. Unit: seconds."""
         return self._mean_s or 0.0
 
     def answered(self, seconds):
-        """Note the time that an answer took."""
+        """Update the estimate with the round-trip time of an answered call. Unit: seconds."""
         self._factor = 1.0
         if self._mean_s is None:
             self._mean_s, self._deviation_s = seconds, seconds / 2
@@ -71,12 +71,12 @@
         self._deviation_s += settings.deviation_share * (abs(error) - self._deviation_s)
 
     def timed_out(self):
-        """Note a call without an answer: the next one is waited for twice as long."""
+        """Double the time limit after a call without an answer."""
         if self.limit_s() < self.settings.longest_s:
             self._factor *= 2
 
     def limit_s(self):
-        """Return how long an answer is waited for. Unit: seconds."""
+        """Return the time limit of the next call. Unit: seconds."""
         settings = self.settings
         usual_s = settings.first_s
         if self._mean_s is not None:
--- a/anvilflow/decisions/tests/test_congestion.py
+++ b/anvilflow/decisions/tests/test_congestion.py
@@ -1,20 +1,20 @@
-"""Time limits and windows that follow how long answers take."""
+"""Time limits and windows that adapt to round-trip times."""
 
 from anvilflow.decisions import RoundTrip, RoundTripSettings, SendWindow
 from anvilflow.decisions._send_window import MIN_LIMIT
 
 
 def _answer(window, seconds, *, n_answers, now=0.0):
-    """Let calls fill the window and be answered; return the time afterwards."""
+    """Answer calls that fill the window; return the time of the last answer."""
     for _ in range(n_answers):
-        window.n_under_way = window.limit
+        window.n_in_flight = window.limit
         now += seconds / window.limit
         window.answered(seconds, mean_s=seconds, now=now)
     return now
 
 
-def test_limit_follows_answers_that_take_longer():
-    """A limit below the time that all answers take sends each call again."""
+def test_limit_follows_slower_answers():
+    """With a time limit below the round-trip time of a slow link, each call is sent again."""
     round_trip = RoundTrip()
     for _ in range(20):
         round_trip.answered(0.005)
@@ -24,8 +24,8 @@
     assert 0.4 < round_trip.limit_s() < 1.0
 
 
-def test_limit_doubles_without_answers_up_to_its_bound():
-    """While no answer comes there is nothing that the mean could follow."""
+def test_limit_doubles_without_answers_up_to_longest_limit():
+    """The mean cannot grow without answers, so the limit has to grow by time-outs alone."""
     round_trip = RoundTrip(settings=RoundTripSettings(longest_s=1.5))
     round_trip.answered(0.1)
     for _ in range(20):
@@ -36,7 +36,7 @@
 
 
 def test_window_shrinks_while_answers_queue_and_grows_again():
-    """A window that stays open keeps a full link full."""
+    """A window that does not shrink while answers queue would keep a congested link full."""
     window = SendWindow(now=0.0)
     now = _answer(window, 0.005, n_answers=100)
     grown = window.limit
@@ -49,20 +49,20 @@
 
 
 def test_window_never_closes():
-    """With no call under way nothing would show that the link carries more again."""
+    """If the window could close, no answer would show that the link has recovered."""
     window = SendWindow(now=0.0)
     now = _answer(window, 0.005, n_answers=5)
     _answer(window, 2.0, n_answers=2_000, now=now)
     assert window.limit == MIN_LIMIT
-    window.n_under_way = 0
+    window.n_in_flight = 0
     assert window.is_open
 
 
 def test_window_that_is_not_used_does_not_grow():
-    """Answers to a few calls do not show that a link carries hundreds."""
+    """Quick answers to a few calls do not show that the link can carry hundreds of calls."""
     window = SendWindow(now=0.0)
     first = window.limit
     for number in range(100):
-        window.n_under_way = 1
+        window.n_in_flight = 1
         window.answered(0.005, mean_s=0.005, now=0.1 * number)
     assert window.limit == first
--- a/anvilflow/parts/_coordinator.py
+++ b/anvilflow/parts/_coordinator.py
@@ -8,10 +8,10 @@
 from ..decisions import (
     AckTask,
     AskHold,
-    EndJob,
     JobCoordinator,
     RecordEnd,
     RecordIntent,
+    RecordPhase,
     RefuseReason,
     ReleaseHold,
     StartTask,
@@ -351,7 +351,7 @@
                 self._record_end(coordinator, message)
             case AckTask(hold_id=hold_id):
                 self._acknowledge(coordinator, hold_id)
-            case EndJob():
+            case RecordPhase():
                 self._write_phase(coordinator, message)
 
     def _ask_hold(self, coordinator, message):
