--- a/anvilflow/parts/_config.py
+++ b/anvilflow/parts/_config.py
@@ -27,13 +27,13 @@
         self._changes = deque(maxlen=_CHANGES_KEPT)
         self._waiting = []
         self._ticker = None
-        self._listed = False
+        self._has_listing = False
 
     def start(self):
         """Follow the table."""
         self.context.changes = self
         self.on(RevisionHint, lambda *_: self._ticker.trigger())
-        self._ticker = self.every(self.context.settings.timing.config_poll_s, self._follow)
+        self._ticker = self.every(self.context.settings.timing.config_poll_s, self._read_changes)
 
     def dump(self):
         """Return the revision in force."""
@@ -64,38 +64,38 @@
         return [self._changes[at] for at in range(skip, min(len(self._changes), skip + limit))]
 
     @inlineCallbacks
-    def _follow(self):
+    def _read_changes(self):
         try:
-            if not self._listed:
-                yield self._list()
+            if not self._has_listing:
+                yield self._load_listing()
             more = True
             while more:
                 changes = yield self.context.resources.changes_after(self.context.catalog.revision)
                 more = bool(changes) and self._apply(changes)
         except RevisionGoneError:
-            self._listed = False
+            self._has_listing = False
             self._ticker.trigger()
         except PlatformError as exc:
             self.log.debug("Configuration not read: {}.", exc)
 
     @inlineCallbacks
-    def _list(self):
+    def _load_listing(self):
         revision, items = yield self.context.resources.listing()
         if self.context.catalog.load(revision, items):
             self._changes.clear()
-            self._listed = True
+            self._has_listing = True
             self.context.ready = True
-            self._in_force(None)
+            self._announce_revision(None)
             self.log.info("Revision {} in force, {} resources.", revision, len(items))
 
     def _apply(self, changes):
         applied = [change for change in changes if self.context.catalog.apply(change)]
         self._changes.extend(applied)
         if applied:
-            self._in_force([change.key for change in applied])
+            self._announce_revision([change.key for change in applied])
         return bool(applied)
 
-    def _in_force(self, keys):
+    def _announce_revision(self, keys):
         revision = self.context.catalog.revision
         if self.context.history is not None:
             self.context.history.add(
--- a/anvilflow/parts/_coordinator.py
+++ b/anvilflow/parts/_coordinator.py
@@ -34,7 +34,7 @@
 from ..resources import JobPhase, WorkKind
 from ..runtime import Part
 from ..utils import encode, jitter
-from ._events import CatalogChanged, CommitAsk, LeavingChanged, LiveChanged, PeerDown
+from ._events import CatalogChanged, CommitRequest, LeavingChanged, LiveChanged, PeerDown
 
 #: Period of asking for places. Unit: seconds.
 _TICK_S = 0.05
@@ -453,7 +453,7 @@
 
     def _commit(self, coordinator, customer, writes, done):
         condition = Condition(key=coordinator_key(customer), version=coordinator.epoch)
-        self.post(CommitAsk(conditions=[condition], writes=writes, done=done))
+        self.post(CommitRequest(conditions=[condition], writes=writes, done=done))
 
     def _check_written(self, customer, coordinator, error):
         """Give the customer up when another coordinator has taken it over."""
--- a/anvilflow/parts/_events.py
+++ b/anvilflow/parts/_events.py
@@ -63,7 +63,7 @@
     revision: int
 
 
-class CommitAsk(Struct, kw_only=True):
+class CommitRequest(Struct, kw_only=True):
     """Write records, on conditions; `done` is called with None or the error."""
 
     conditions: list
--- a/anvilflow/parts/_gateway.py
+++ b/anvilflow/parts/_gateway.py
@@ -31,15 +31,15 @@
     LimitedSite,
     answer_json,
     answer_no_route,
-    argument,
-    coded,
+    json_errors,
+    query_argument,
     read_body,
     shielded,
 )
 from ._keys import KeyClaims
 
 #: HTTP status of each outcome.
-_STATUS = {
+_HTTP_STATUS = {
     Outcome.COMPLETED: 200,
     Outcome.FAILED: 502,
     Outcome.NOT_RUN: 503,
@@ -55,10 +55,10 @@
 #: Wait before another attempt that was refused. Unit: seconds.
 _RETRY_WAIT_S = 0.02
 
-_ENDED = {JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED}
+_ENDED_PHASES = {JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED}
 
 
-class _Pending:
+class _PendingAttempt:
     """One attempt that waits for its owner's word."""
 
     __slots__ = ("answer", "owner")
@@ -84,7 +84,7 @@
         self._claims = KeyClaims(part=self)
         self._pending = {}
         self._status_calls = {}
-        self._n_calls = 0
+        self._n_status_calls = 0
         self._n_requests = 0
         self._n_open = 0
 
@@ -103,7 +103,7 @@
         self._stack.callback(port.stopListening)
         self.on(RequestEnded, self._request_ended)
         self.on(PeerDown, self._peer_down)
-        self.on(StatusAnswer, self._status_answer)
+        self.on(StatusAnswer, self._status_received)
 
     def dump(self):
         """Return what is in progress."""
@@ -117,7 +117,7 @@
     # Requests
 
     @app.route("/v1/requests", methods=["POST"])
-    @coded
+    @json_errors
     def post_request(self, request):
         """Run a service request."""
         call = decode(read_body(request, self.context.settings.limits.body_bytes), RequestCall)
@@ -134,9 +134,9 @@
         idempotent = workload.idempotent if call.idempotent is None else call.idempotent
         self._n_open += 1
         self._n_requests += 1
-        return self._serve(call, idempotent).addBoth(self._served)
+        return self._serve(call, idempotent).addBoth(self._request_done)
 
-    def _served(self, result):
+    def _request_done(self, result):
         self._n_open -= 1
         return result
 
@@ -145,7 +145,7 @@
         self.context.metrics.outcomes.labels(outcome.value).inc()
         if outcome is Outcome.NOT_RUN:
             request.setHeader(b"retry-after", str(max(1, round(answer.retry_after_s))).encode())
-        return answer_json(request, answer, status=_STATUS[outcome])
+        return answer_json(request, answer, status=_HTTP_STATUS[outcome])
 
     def _check_ready(self):
         if not self.context.ready:
@@ -168,38 +168,38 @@
         limit = call.deadline_s or self.context.settings.timing.default_deadline_s
         deadline = self.now + limit
         if idempotent or not call.idempotency_key:
-            answer = yield self._attempts(call, request_id, deadline, idempotent)
+            answer = yield self._run_attempts(call, request_id, deadline, idempotent)
             return answer
         claim = yield self._claims.claim(call, request_id, deadline)
         if isinstance(claim, RequestAnswer):
             return claim
-        answer = yield self._attempts(call, request_id, deadline, idempotent)
-        self._claims.write_end(call, claim, answer)
+        answer = yield self._run_attempts(call, request_id, deadline, idempotent)
+        self._claims.record_end(call, claim, answer)
         return answer
 
     @inlineCallbacks
-    def _attempts(self, call, request_id, deadline, idempotent):
+    def _run_attempts(self, call, request_id, deadline, idempotent):
         self.context.retries.earn()
-        tried = []
+        tried_owners = []
         answer = None
         may_have_run = False
         for attempt in range(_MAX_ATTEMPTS):
-            owner = self._choose_owner(tried)
+            owner = self._choose_owner(tried_owners)
             if owner is None:
                 return answer or not_run_answer(request_id, "no owner has a worker", 0.5)
-            tried.append(owner)
-            answer = yield self._attempt(call, f"{request_id}#{attempt}", owner, deadline)
+            tried_owners.append(owner)
+            answer = yield self._send_attempt(call, f"{request_id}#{attempt}", owner, deadline)
             answer.request_id = request_id
             may_have_run = may_have_run or answer.outcome == Outcome.UNKNOWN
             if may_have_run and answer.outcome == Outcome.NOT_RUN:
                 # Only this attempt did not run: an earlier one gave no answer and may have.
                 answer.outcome = Outcome.UNKNOWN.value
-            if not self._try_again(answer, idempotent, deadline):
+            if not self._may_retry(answer, idempotent, deadline):
                 return answer
             self.context.metrics.retries.inc()
         return answer
 
-    def _try_again(self, answer, idempotent, deadline):
+    def _may_retry(self, answer, idempotent, deadline):
         return (
             can_retry(Outcome(answer.outcome), idempotent=idempotent)
             and answer.reason != "queue_full"
@@ -208,9 +208,9 @@
         )
 
     @inlineCallbacks
-    def _attempt(self, call, attempt_id, owner, deadline):
+    def _send_attempt(self, call, attempt_id, owner, deadline):
         remaining = deadline - self.now
-        pending = _Pending(owner=owner)
+        pending = _PendingAttempt(owner=owner)
         self._pending[attempt_id] = pending
         forward = ForwardRequest(
             request_id=attempt_id,
@@ -222,23 +222,25 @@
         if not self.context.send(owner, forward):
             self._pending.pop(attempt_id, None)
             return not_run_answer(attempt_id, f"instance {owner} cannot be reached", _RETRY_WAIT_S)
-        timer = self.later(remaining + _ANSWER_GRACE_S, self._late, attempt_id)
+        timer = self.later(remaining + _ANSWER_GRACE_S, self._deadline_passed, attempt_id)
         answer = yield pending.answer
         if timer.active():
             timer.cancel()
         return answer
 
-    def _late(self, attempt_id):
+    def _deadline_passed(self, attempt_id):
         pending = self._pending.get(attempt_id)
         if pending is not None:
             self.context.send(pending.owner, CancelRequest(request_id=attempt_id))
-            self._settle(attempt_id, unknown_answer(attempt_id, "no answer before the deadline"))
+            self._complete_attempt(
+                attempt_id, unknown_answer(attempt_id, "no answer before the deadline")
+            )
 
     def _request_ended(self, source, body):
         pending = self._pending.get(body.request_id)
         if pending is None or pending.owner != source:
             return
-        self._settle(
+        self._complete_attempt(
             body.request_id,
             RequestAnswer(
                 request_id=body.request_id,
@@ -255,34 +257,34 @@
         lost = [key for key, item in self._pending.items() if item.owner == event.instance]
         for attempt_id in lost:
             unknown = unknown_answer(attempt_id, "the connection to the owner was lost")
-            self._settle(attempt_id, unknown)
+            self._complete_attempt(attempt_id, unknown)
 
-    def _settle(self, attempt_id, answer):
+    def _complete_attempt(self, attempt_id, answer):
         # A cancel sent to this very instance is answered before the call that sent it returns.
         pending = self._pending.pop(attempt_id, None)
         if pending is not None:
             pending.answer.callback(answer)
 
-    def _choose_owner(self, tried):
+    def _choose_owner(self, tried_owners):
         """Choose between two owners by their last digests, leaving out those that refused."""
         digests = self.context.digests
-        able = [
+        eligible = [
             name
             for name in self.context.live
-            if name not in tried and name in digests and digests[name].n_workers
+            if name not in tried_owners and name in digests and digests[name].n_workers
         ]
-        if not able:
+        if not eligible:
             return None
-        if len(able) > 2:
-            able = self.context.random_state.sample(able, 2)
-        best = max(able, key=lambda name: _service_room(digests[name]))
+        if len(eligible) > 2:
+            eligible = self.context.random_state.sample(eligible, 2)
+        best = max(eligible, key=lambda name: _free_service_capacity(digests[name]))
         digests[best].free_service_slots -= 1
         return best
 
     # Jobs
 
     @app.route("/v1/jobs", methods=["POST"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def post_job(self, request):
         """Submit a job: answered when it is durable."""
@@ -306,14 +308,14 @@
         check_references(job, self.context.catalog)
         self._check_fits(job)
 
-        def same(stored):
+        def keep_equal_job(stored):
             """Submitting again what is there already changes nothing."""
             if stored is not None and stored.tasks == job.tasks and stored.workload == job.workload:
                 return stored
             return job
 
         written = yield self.context.resources.write(
-            f"Job/{job.customer}/{job.name}", job, expected=0, check=same
+            f"Job/{job.customer}/{job.name}", job, expected=0, check=keep_equal_job
         )
         self.context.changes.trigger()
         return written
@@ -331,7 +333,7 @@
         )
 
     @app.route("/v1/jobs/<customer>/<name>", methods=["GET"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def get_job(self, request, customer, name):
         """Return where a job stands, why it waits, and on demand its results."""
@@ -340,9 +342,9 @@
             raise NotFoundError(f"job {customer}/{name} does not exist")
         value = to_builtins(job)
         value["n_tasks"] = len(value.pop("tasks"))
-        if job.phase not in _ENDED:
-            value["now"] = yield self._ask_status(customer, name)
-        if argument(request, "results"):
+        if job.phase not in _ENDED_PHASES:
+            value["now"] = yield self._request_status(customer, name)
+        if query_argument(request, "results"):
             rows = yield self.context.table.scan_all(f"task/{customer}/{name}/")
             value["results"] = {}
             for row in rows:
@@ -359,7 +361,7 @@
         return {**record, "result": body.decode()}
 
     @app.route("/v1/jobs/<customer>/<name>/cancel", methods=["POST"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def cancel_job(self, request, customer, name):
         """Cancel a job: it is cancelled when its phase says so."""
@@ -370,24 +372,24 @@
     def cancel(self, customer, name):
         """Have a job cancelled; the Deferred fires when that is durable."""
 
-        def cancelling(job):
+        def mark_cancelling(job):
             if job is None:
                 raise NotFoundError(f"job {customer}/{name} does not exist")
-            if job.phase not in _ENDED:
+            if job.phase not in _ENDED_PHASES:
                 job.phase = JobPhase.CANCELLING
             return job
 
         written = yield self.context.resources.write(
-            f"Job/{customer}/{name}", None, check=cancelling
+            f"Job/{customer}/{name}", None, check=mark_cancelling
         )
         self.context.changes.trigger()
         return written
 
     @inlineCallbacks
-    def _ask_status(self, customer, name):
+    def _request_status(self, customer, name):
         coordinator = choose_owner(self.context.live, coordinator_key(customer))
-        self._n_calls += 1
-        call = self._n_calls
+        self._n_status_calls += 1
+        call = self._n_status_calls
         answer = Deferred()
         self._status_calls[call] = answer
         if coordinator is None or not self.context.send(
@@ -395,22 +397,22 @@
         ):
             self._status_calls.pop(call)
             return None
-        timer = self.later(1.0, self._status_late, call)
+        timer = self.later(1.0, self._status_timed_out, call)
         value = yield answer
         if timer.active():
             timer.cancel()
         return value
 
-    def _status_late(self, call):
+    def _status_timed_out(self, call):
         answer = self._status_calls.pop(call, None)
         if answer is not None:
             answer.callback(None)
 
-    def _status_answer(self, _, body):
+    def _status_received(self, _, body):
         answer = self._status_calls.pop(body.call, None)
         if answer is not None:
             answer.callback(decode_lenient(body.body))
 
 
-def _service_room(digest):
+def _free_service_capacity(digest):
     return digest.free_service_slots - digest.n_queued
--- a/anvilflow/parts/_http_api.py
+++ b/anvilflow/parts/_http_api.py
@@ -10,7 +10,7 @@
 from ..utils import encode
 
 #: Idle time after which a kept connection is closed. Unit: seconds.
-IDLE_S = 120
+IDLE_TIMEOUT_S = 120
 
 _log = Logger("http")
 
@@ -25,7 +25,7 @@
     """
 
     def __init__(self, resource, *, max_connections):
-        super().__init__(resource, timeout=IDLE_S)
+        super().__init__(resource, timeout=IDLE_TIMEOUT_S)
         self.max_connections = max_connections
         self.displayTracebacks = False
         self.n_connections = 0
@@ -35,11 +35,11 @@
             return None
         channel = super().buildProtocol(addr)
         self.n_connections += 1
-        lost = channel.connectionLost
+        base_connection_lost = channel.connectionLost
 
         def connection_lost(reason):
             self.n_connections -= 1
-            lost(reason)
+            base_connection_lost(reason)
 
         channel.connectionLost = connection_lost
         return channel
@@ -63,7 +63,7 @@
     return answer_json(request, {"error": exc.to_dict()}, status=exc.http_status)
 
 
-def coded(endpoint):
+def json_errors(endpoint):
     """Turn failures of an endpoint into coded answers; one that is not ours is logged whole."""
 
     @wraps(endpoint)
@@ -109,7 +109,7 @@
     return body
 
 
-def argument(request, name, default=""):
+def query_argument(request, name, default=""):
     """Return an argument of the query string."""
     values = request.args.get(name.encode())
     return values[0].decode("utf-8", "replace") if values else default
@@ -120,8 +120,8 @@
     "answer_error",
     "answer_json",
     "answer_no_route",
-    "argument",
-    "coded",
+    "json_errors",
+    "query_argument",
     "read_body",
     "shielded",
 ]
--- a/anvilflow/parts/_members.py
+++ b/anvilflow/parts/_members.py
@@ -19,7 +19,7 @@
 
 
 #: Evaluations of the view within the suspect time.
-_EVALUATIONS = 3
+_EVALUATIONS_PER_SUSPECT_TIME = 3
 
 
 class MembersPart(Part):
@@ -38,10 +38,10 @@
     def __init__(self, *, context):
         super().__init__(context=context)
         self._listed = {}
-        self._since = {}
+        self._seen_at = {}
         self._connected = set()
         self._leaving = set()
-        self._known = None
+        self._last_view = None
         self._read_at = 0.0
 
     def start(self):
@@ -51,10 +51,10 @@
         self.on(PeerDown, self._peer_down)
         self.on(PeerLeaving, self._peer_leaving)
         self.on(WorkersLeaving, self._workers_leaving)
-        self.on(LeavingChanged, lambda *_: self._evaluate())
+        self.on(LeavingChanged, lambda *_: self._update_view())
         self.every(timing.membership_poll_s, self._poll)
-        period = timing.suspect_s / _EVALUATIONS
-        self.every(period, self._evaluate, delay=period)
+        period = timing.suspect_s / _EVALUATIONS_PER_SUSPECT_TIME
+        self.every(period, self._update_view, delay=period)
 
     def dump(self):
         """Return the view."""
@@ -67,37 +67,37 @@
 
     def _poll(self):
         done = self.context.membership.read()
-        done.addCallbacks(self._listed_anew, self._poll_failed)
+        done.addCallbacks(self._list_read, self._poll_failed)
         return done
 
     def _poll_failed(self, failure):
         failure.trap(PlatformError)
         self.log.debug("Membership list not read: {}.", failure.value)
 
-    def _listed_anew(self, listing):
+    def _list_read(self, listing):
         now = self.now
         self._read_at = now
         self._listed = {member.name: member for member in listing.members}
         for name in self._listed:
-            self._since.setdefault(name, now)
+            self._seen_at.setdefault(name, now)
         self.post(MembersListed(members=listing.members))
-        self._evaluate()
+        self._update_view()
 
     def _peer_up(self, _, event):
         self._connected.add(event.instance)
         self._leaving.discard(event.instance)
-        self._evaluate()
+        self._update_view()
 
     def _peer_down(self, _, event):
         self._connected.discard(event.instance)
         # Counted from when it was last heard: a connection that was dropped for its silence has
         # used up the suspect time already, and waiting it out again would double the take-over.
-        self._since[event.instance] = event.heard_at
+        self._seen_at[event.instance] = event.heard_at
 
     def _peer_leaving(self, _, event):
         if event.instance not in self._leaving:
             self._leaving.add(event.instance)
-            self._evaluate()
+            self._update_view()
 
     def _workers_leaving(self, _, event):
         """Take a peer's word for workers that leave, when the own list is old.
@@ -111,20 +111,20 @@
             member = self._listed.get(name)
             if member is not None and member.state != "leaving":
                 self._listed[name] = structs.replace(member, state="leaving")
-                self._evaluate()
+                self._update_view()
 
-    def _evaluate(self):
-        live = tuple(sorted(name for name in self._candidates() if self._is_live(name)))
+    def _update_view(self):
+        live = tuple(sorted(name for name in self._known_instances() if self._is_live(name)))
         workers = {name: member for name, member in self._listed.items() if member.role == "worker"}
         view = (live, workers)
-        if view == self._known:
+        if view == self._last_view:
             return
-        self._known = view
+        self._last_view = view
         self.context.live = live
         self.context.workers = workers
         self.post(LiveChanged(live=live, workers=workers))
 
-    def _candidates(self):
+    def _known_instances(self):
         instances = {name for name, member in self._listed.items() if member.role == "instance"}
         return instances | self._connected | {self.context.name}
 
@@ -138,4 +138,4 @@
             return False
         if name in self._connected:
             return True
-        return self.now - self._since.get(name, 0.0) < self.context.settings.timing.suspect_s
+        return self.now - self._seen_at.get(name, 0.0) < self.context.settings.timing.suspect_s
--- a/anvilflow/parts/_operators.py
+++ b/anvilflow/parts/_operators.py
@@ -10,7 +10,14 @@
 from ..runtime import Part
 from ..utils import decode, to_builtins
 from ._events import CatalogChanged
-from ._http_api import LimitedSite, answer_json, answer_no_route, argument, coded, read_body
+from ._http_api import (
+    LimitedSite,
+    answer_json,
+    answer_no_route,
+    json_errors,
+    query_argument,
+    read_body,
+)
 
 _MAX_CONNECTIONS = 200
 _MAX_DECLARATION_BYTES = 256 * 1024
@@ -42,11 +49,11 @@
             self.context.settings.listen.operators, site
         )
         self._stack.callback(port.stopListening)
-        self.on(CatalogChanged, self._wake)
+        self.on(CatalogChanged, self._end_watches)
 
     def stop(self):
         """Answer the open watches and stop."""
-        self._wake(None, None)
+        self._end_watches(None, None)
         super().stop()
 
     def dump(self):
@@ -61,20 +68,20 @@
     # Resources
 
     @app.route("/v1/resources/<kind>", methods=["GET"])
-    @coded
+    @json_errors
     def list_resources(self, request, kind):
         """Return a page of resources, sorted by key."""
         self._check_ready()
         match kind:
             case "Worker":
-                return answer_json(request, {"items": self._workers()})
+                return answer_json(request, {"items": self._worker_items()})
             case "Instance":
-                return answer_json(request, {"items": self._instances()})
+                return answer_json(request, {"items": self._instance_items()})
         _check_kind(kind)
         catalog = self.context.catalog
-        limit = _number(request, "limit", _DEFAULT_PAGE, _MAX_PAGE)
-        after = argument(request, "after")
-        customer = argument(request, "customer")
+        limit = _number_argument(request, "limit", _DEFAULT_PAGE, _MAX_PAGE)
+        after = query_argument(request, "after")
+        customer = query_argument(request, "customer")
         prefix = f"{kind}/{customer}/" if customer and kind == "Job" else f"{kind}/"
         keys = [key for key in catalog.keys(prefix) if key > after]
         page = keys[: int(limit)]
@@ -82,21 +89,21 @@
             request,
             {
                 "revision": catalog.revision,
-                "items": [self._shown(key) for key in page],
+                "items": [self._resource_item(key) for key in page],
                 "next": page[-1] if len(keys) > len(page) else None,
             },
         )
 
     @app.route("/v1/resources/<kind>/<path:name>", methods=["GET"])
-    @coded
+    @json_errors
     def get_resource(self, request, kind, name):
         """Return one resource with its revision."""
         self._check_ready()
         _check_kind(kind)
-        return answer_json(request, self._shown(f"{kind}/{name}"))
+        return answer_json(request, self._resource_item(f"{kind}/{name}"))
 
     @app.route("/v1/resources/<kind>/<path:name>", methods=["PUT"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def put_resource(self, request, kind, name):
         """Create or replace a resource; ``?revision=N`` makes a write on a stale basis fail."""
@@ -104,43 +111,43 @@
         value = decode(read_body(request, _MAX_DECLARATION_BYTES), dict, error=DeclarationError)
         resource = parse_resource(value)
         if type(resource).__name__ not in DECLARED_KINDS:
-            raise DeclarationError(f"$.kind: {kind} is not declared; allowed: {_allowed()}")
+            raise DeclarationError(f"$.kind: {kind} is not declared; allowed: {_allowed_kinds()}")
         if resource_key(resource) != f"{kind}/{name}":
             raise DeclarationError(f"the body declares {resource_key(resource)}, not {kind}/{name}")
         check_references(resource, self.context.catalog)
-        expected = _revision(request)
+        expected = _revision_argument(request)
         written = yield self.context.resources.write(
             resource_key(resource), resource, expected=expected
         )
-        self._accepted(written)
+        self._write_accepted(written)
         return answer_json(request, {"revision": written.revision, "changed": written.changed})
 
     @app.route("/v1/resources/<kind>/<path:name>", methods=["DELETE"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def delete_resource(self, request, kind, name):
         """Delete a resource that nothing refers to."""
         self._check_ready()
         if kind not in DECLARED_KINDS:
-            raise NotFoundError(f"{kind} cannot be deleted; allowed: {_allowed()}")
+            raise NotFoundError(f"{kind} cannot be deleted; allowed: {_allowed_kinds()}")
         self._check_unused(kind, name)
         written = yield self.context.resources.write(
-            f"{kind}/{name}", None, expected=_revision(request)
+            f"{kind}/{name}", None, expected=_revision_argument(request)
         )
-        self._accepted(written)
+        self._write_accepted(written)
         return answer_json(request, {"revision": written.revision, "changed": written.changed})
 
     @app.route("/v1/watch", methods=["GET"])
-    @coded
+    @json_errors
     @inlineCallbacks
     def watch(self, request):
         """Return the changes after a revision, as soon as there is one or when the wait is over."""
         self._check_ready()
-        after = _number(request, "after", self.context.catalog.revision, None)
-        wait = _number(request, "timeout_s", _DEFAULT_WATCH_S, _MAX_WATCH_S)
+        after = _number_argument(request, "after", self.context.catalog.revision, None)
+        wait = _number_argument(request, "timeout_s", _DEFAULT_WATCH_S, _MAX_WATCH_S)
         changes = self.context.changes.changes_after(int(after), _MAX_PAGE)
         if not changes and len(self._watches) < _MAX_WATCHES:
-            yield self._changed_within(request, wait)
+            yield self._wait_for_change(request, wait)
             changes = self.context.changes.changes_after(int(after), _MAX_PAGE)
         revision = changes[-1].revision if changes else int(after)
         return answer_json(request, {"revision": revision, "changes": changes})
@@ -148,7 +155,7 @@
     # The instance
 
     @app.route("/health", methods=["GET"])
-    @coded
+    @json_errors
     def health(self, request):
         """Say whether callers may be sent here; the balancer asks."""
         if self.context.leaving:
@@ -157,7 +164,7 @@
         return answer_json(request, {"ready": True})
 
     @app.route("/v1/status", methods=["GET"])
-    @coded
+    @json_errors
     def status(self, request):
         """Return the instance's view of the cell in short."""
         context = self.context
@@ -174,14 +181,14 @@
         )
 
     @app.route("/metrics", methods=["GET"])
-    @coded
+    @json_errors
     def metrics(self, request):
         """Return the metrics page."""
         request.setHeader(b"content-type", b"text/plain; version=0.0.4")
         return self.context.metrics.page()
 
     @app.route("/dump", methods=["GET"])
-    @coded
+    @json_errors
     def dump_state(self, request):
         """Return the state of every part."""
         return answer_json(request, self.dump_all())
@@ -192,7 +199,7 @@
         if not self.context.ready:
             raise NotReadyError("no configuration seen yet", details={"retry_after_s": 1})
 
-    def _accepted(self, written):
+    def _write_accepted(self, written):
         if written.changed and self.context.history is not None:
             self.context.history.add(ConfigAccepted, revision=written.revision)
         self.context.changes.trigger()
@@ -204,11 +211,11 @@
         for prefix in users:
             for key in catalog.keys(prefix):
                 item = catalog.get(key)
-                over = getattr(item, "phase", "") in ("completed", "failed", "cancelled")
-                if getattr(item, field) == name and not over:
+                has_ended = getattr(item, "phase", "") in ("completed", "failed", "cancelled")
+                if getattr(item, field) == name and not has_ended:
                     raise DeclarationError(f"{kind}/{name} is used by {key}")
 
-    def _shown(self, key):
+    def _resource_item(self, key):
         resource = self.context.catalog.get(key)
         if resource is None:
             raise NotFoundError(f"{key} does not exist")
@@ -217,18 +224,18 @@
             value["n_tasks"] = len(value.pop("tasks"))
         return {"key": key, "revision": self.context.catalog.revision_of(key), "value": value}
 
-    def _workers(self):
+    def _worker_items(self):
         return [to_builtins(member) for _, member in sorted(self.context.workers.items())]
 
-    def _instances(self):
+    def _instance_items(self):
         return [{"name": name, "live": True} for name in self.context.live]
 
-    def _changed_within(self, request, seconds):
+    def _wait_for_change(self, request, seconds):
         """Wait for the next change, for `seconds`, or until the client goes."""
         waiting = Deferred()
-        timer = self.later(seconds, self._wake_one, waiting)
+        timer = self.later(seconds, self._end_watch, waiting)
         self._watches.add(waiting)
-        request.notifyFinish().addErrback(lambda _: self._wake_one(waiting))
+        request.notifyFinish().addErrback(lambda _: self._end_watch(waiting))
 
         def done(_):
             if timer.active():
@@ -236,17 +243,17 @@
 
         return waiting.addCallback(done)
 
-    def _wake_one(self, waiting):
+    def _end_watch(self, waiting):
         if waiting in self._watches:
             self._watches.discard(waiting)
             waiting.callback(None)
 
-    def _wake(self, _, __):
+    def _end_watches(self, _, __):
         for waiting in list(self._watches):
-            self._wake_one(waiting)
+            self._end_watch(waiting)
 
 
-def _allowed():
+def _allowed_kinds():
     return ", ".join(sorted(DECLARED_KINDS))
 
 
@@ -257,8 +264,8 @@
         )
 
 
-def _number(request, name, default, limit):
-    text = argument(request, name)
+def _number_argument(request, name, default, limit):
+    text = query_argument(request, name)
     if not text:
         return default
     try:
@@ -270,6 +277,6 @@
     return value
 
 
-def _revision(request):
-    text = argument(request, "revision")
-    return int(_number(request, "revision", 0, None)) if text else None
+def _revision_argument(request):
+    text = query_argument(request, "revision")
+    return int(_number_argument(request, "revision", 0, None)) if text else None
--- a/anvilflow/parts/_store.py
+++ b/anvilflow/parts/_store.py
@@ -8,7 +8,7 @@
 from ..exceptions import PlatformUnavailableError, PreconditionError
 from ..runtime import Part
 from ..utils import jitter
-from ._events import CommitAsk
+from ._events import CommitRequest
 
 _FIRST_BACKOFF_S = 0.05
 
@@ -33,7 +33,7 @@
 
     def start(self):
         """Take records."""
-        self.on(CommitAsk, self._ask)
+        self.on(CommitRequest, self._ask)
 
     def stop(self):
         """Take no more."""
--- a/anvilflow/parts/tests/test_http.py
+++ b/anvilflow/parts/tests/test_http.py
@@ -11,7 +11,7 @@
 from ._helpers import make_cell, make_job
 
 
-class Caller:
+class HttpCaller:
     """Makes HTTP calls to one part of an instance under virtual time."""
 
     def __init__(self, cell, instance, part):
@@ -23,7 +23,9 @@
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         results = []
         done = self.stub.request(method, f"http://a{path}", data=data if body is not None else None)
-        done.addCallback(lambda response: response.json().addCallback(self._both, response))
+        done.addCallback(
+            lambda response: response.json().addCallback(self._status_and_value, response)
+        )
         done.addBoth(results.append)
         for _ in range(10):
             self.stub.flush()
@@ -32,18 +34,18 @@
         return results[0] if results else None
 
     @staticmethod
-    def _both(value, response):
+    def _status_and_value(value, response):
         return response.code, value
 
 
-def operators(cell, instance="a1"):
+def operators_api(cell, instance="a1"):
     """Return a caller of the resource API."""
-    return Caller(cell, instance, "operators")
+    return HttpCaller(cell, instance, "operators")
 
 
-def callers(cell, instance="a1"):
+def callers_api(cell, instance="a1"):
     """Return a caller of the callers' API."""
-    return Caller(cell, instance, "entry")
+    return HttpCaller(cell, instance, "entry")
 
 
 def customer(**values):
@@ -51,14 +53,14 @@
     return {"kind": "Customer", "name": "small", **values}
 
 
-def test_two_operators_never_overwrite_each_other_unseen():
+def test_concurrent_writes_of_two_operators_conflict():
     """Both read revision R and write; the second hears that it is at R+1 and loses nothing."""
     cell = make_cell()
     path = "/v1/resources/Customer/small"
-    _, shown = operators(cell, "a1").call("GET", path)
+    _, shown = operators_api(cell, "a1").call("GET", path)
     at = shown["revision"]
-    first = operators(cell, "a1").call("PUT", f"{path}?revision={at}", customer(priority=1))
-    second = operators(cell, "a2").call("PUT", f"{path}?revision={at}", customer(priority=2))
+    first = operators_api(cell, "a1").call("PUT", f"{path}?revision={at}", customer(priority=1))
+    second = operators_api(cell, "a2").call("PUT", f"{path}?revision={at}", customer(priority=2))
     assert first[0] == 200 and first[1]["changed"]
     assert second[0] == 409
     assert second[1]["error"]["code"] == "AF202"
@@ -70,23 +72,23 @@
     cell = make_cell()
     path = "/v1/resources/Customer/small?revision=0"
     new = {"kind": "Customer", "name": "fresh"}
-    first = operators(cell).call("PUT", "/v1/resources/Customer/fresh?revision=0", new)
-    again = operators(cell, "a2").call("PUT", "/v1/resources/Customer/fresh?revision=0", new)
+    first = operators_api(cell).call("PUT", "/v1/resources/Customer/fresh?revision=0", new)
+    again = operators_api(cell, "a2").call("PUT", "/v1/resources/Customer/fresh?revision=0", new)
     assert first[1]["changed"] and not again[1]["changed"]
     assert first[1]["revision"] == again[1]["revision"]
-    assert operators(cell).call("PUT", path, customer(priority=5))[0] == 409
+    assert operators_api(cell).call("PUT", path, customer(priority=5))[0] == 409
 
 
-def test_watch_resumes_at_another_instance_and_loses_nothing():
+def test_watch_resumes_at_another_instance_without_losing_changes():
     cell = make_cell()
-    start = operators(cell).call("GET", "/v1/resources/Customer")[1]["revision"]
+    start = operators_api(cell).call("GET", "/v1/resources/Customer")[1]["revision"]
     for priority in (11, 12, 13):
-        assert operators(cell).call(
+        assert operators_api(cell).call(
             "PUT", "/v1/resources/Customer/small", customer(priority=priority)
         )
     at, seen = start, []
     for instance in ("a1", "a2", "a3"):
-        status, page = operators(cell, instance).call("GET", f"/v1/watch?after={at}")
+        status, page = operators_api(cell, instance).call("GET", f"/v1/watch?after={at}")
         assert status == 200
         changes = page["changes"][:1]
         seen += [change["value"]["priority"] for change in changes]
@@ -94,18 +96,18 @@
     assert seen == [11, 12, 13]
 
 
-def test_watch_waits_for_a_change_and_then_answers():
+def test_watch_without_changes_is_answered_at_its_timeout():
     cell = make_cell()
     at = cell.daemons["a1"].context.catalog.revision
-    watcher = operators(cell)
+    watcher = operators_api(cell)
     assert watcher.call("GET", f"/v1/watch?after={at}&timeout_s=30", seconds=2.0) is None
     answer = watcher.call("GET", f"/v1/watch?after={at}&timeout_s=1", seconds=2.0)
     assert answer == (200, {"revision": at, "changes": []})
 
 
-def test_watch_from_a_revision_too_old_says_to_list_again():
+def test_watch_from_an_old_revision_is_answered_with_410():
     cell = make_cell()
-    status, answer = operators(cell).call("GET", "/v1/watch?after=1")
+    status, answer = operators_api(cell).call("GET", "/v1/watch?after=1")
     assert status == 410
     assert answer["error"]["code"] == "AF203"
 
@@ -116,7 +118,7 @@
     seen, after = [], ""
     while after is not None:
         path = f"/v1/resources/Customer?limit=10&after={after}"
-        _, page = operators(cell).call("GET", path)
+        _, page = operators_api(cell).call("GET", path)
         seen += [item["value"]["name"] for item in page["items"]]
         after = page["next"]
     assert seen == names
@@ -124,7 +126,7 @@
 
 def test_resource_in_use_is_not_deleted():
     cell = make_cell()
-    status, answer = operators(cell).call("DELETE", "/v1/resources/Policy/interactive")
+    status, answer = operators_api(cell).call("DELETE", "/v1/resources/Policy/interactive")
     assert (status, answer["error"]["code"]) == (400, "AF102")
     assert "Workload/lookup" in answer["error"]["message"]
 
@@ -144,17 +146,17 @@
         (b'{"payload": "' + b"x" * 300_000 + b'"}', "AF303"),
     ],
 )
-def test_malformed_request_gets_a_coded_answer(body, code):
+def test_malformed_request_is_answered_with_an_error_code(body, code):
     cell = make_cell()
-    status, answer = callers(cell).call("POST", "/v1/requests", body)
+    status, answer = callers_api(cell).call("POST", "/v1/requests", body)
     assert 400 <= status < 500
     assert answer["error"]["code"] == code
     assert cell.part("a1", "entry").n_in_progress == 0
 
 
-def test_unknown_path_is_coded():
+def test_unknown_path_is_answered_with_an_error_code():
     cell = make_cell(n_instances=1, n_workers=1)
-    status, answer = callers(cell).call("GET", "/v1/nothing/here")
+    status, answer = callers_api(cell).call("GET", "/v1/nothing/here")
     assert (status, answer["error"]["code"]) == (404, "AF201")
 
 
@@ -165,18 +167,18 @@
     cell = make_cell(declarations=declarations)
     job = make_job("j1", "assembly", 2)
     call = {"name": "j1", "customer": "large", "workload": "assembly", "tasks": job.tasks}
-    status, answer = callers(cell).call("POST", "/v1/jobs", call)
+    status, answer = callers_api(cell).call("POST", "/v1/jobs", call)
     assert (status, answer["error"]["code"]) == (400, "AF102")
     assert "cpu_milli 64000" in answer["error"]["message"]
 
 
-def test_status_says_why_a_job_waits():
+def test_status_reports_why_a_job_waits():
     quota = Amounts(cpu_milli=3000, memory_mb=100_000, slots=50)
     cell = make_cell(declarations=make_declarations(quota=quota))
     cell.submit("a1", make_job("j1", "refresh", 10, seconds=30.0))
     cell.advance(2.0)
     for instance in ("a1", "a2", "a3"):
-        _, answer = callers(cell, instance).call("GET", "/v1/jobs/large/j1")
+        _, answer = callers_api(cell, instance).call("GET", "/v1/jobs/large/j1")
         assert answer["now"]["tasks"]["started"] == 3
         assert "quota of customer large is used up: cpu_milli 3000 of 3000" in answer["now"]["why"]
 
@@ -188,12 +190,12 @@
     cell.crash_instance("a1")
     cell.start_instance("a2")
     cell.advance(3.0)
-    assert operators(cell, "a2").call("GET", "/health")[0] == 503
-    assert operators(cell, "a2").call("GET", "/dump")[0] == 200
-    status, answer = callers(cell, "a2").call(
+    assert operators_api(cell, "a2").call("GET", "/health")[0] == 503
+    assert operators_api(cell, "a2").call("GET", "/dump")[0] == 200
+    status, answer = callers_api(cell, "a2").call(
         "POST", "/v1/requests", {"customer": "small", "workload": "lookup"}
     )
     assert (status, answer["error"]["code"]) == (503, "AF204")
     cell.table_faults.down = False
     cell.advance(5.0)
-    assert operators(cell, "a2").call("GET", "/health")[0] == 200
+    assert operators_api(cell, "a2").call("GET", "/health")[0] == 200
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -7,7 +7,7 @@
 from anvilflow.exceptions import PreconditionError
 from anvilflow.history import check_history
 from anvilflow.parts import CoordinatorPart, StorePart
-from anvilflow.parts._events import CommitAsk
+from anvilflow.parts._events import CommitRequest
 from anvilflow.standins import WorkerState
 
 from ._helpers import make_cell, make_job, phase_of
@@ -60,7 +60,7 @@
     if not safeguard:
 
         def commit(self, coordinator, customer, writes, done):
-            self.post(CommitAsk(conditions=[], writes=writes, done=done))
+            self.post(CommitRequest(conditions=[], writes=writes, done=done))
 
         monkeypatch.setattr(CoordinatorPart, "_commit", commit)
     cell = make_cell(n_instances=5, n_workers=12)
@@ -190,8 +190,8 @@
         monkeypatch.setattr(StorePart, "_commit_group", commit_group)
     cell = make_cell(n_instances=1)
     results = []
-    good = CommitAsk(conditions=[], writes=[], done=results.append)
-    stale = CommitAsk(conditions=[_stale_condition()], writes=[], done=lambda error: None)
+    good = CommitRequest(conditions=[], writes=[], done=results.append)
+    stale = CommitRequest(conditions=[_stale_condition()], writes=[], done=lambda error: None)
     for ask in (good, stale):
         cell.daemons["a1"].context.bus.post(ask)
     cell.advance(1.0)
@@ -212,7 +212,7 @@
     taken = cell.table.commit([], [("home/other", {"holder": "a1"})])
     results = {}
     for version, worker in ((taken + 7, "w06"), (taken, "w02")):
-        ask = CommitAsk(
+        ask = CommitRequest(
             conditions=[Condition(key="home/other", version=version)],
             writes=[Write(key=f"task/other/{worker}", value={"worker": worker})],
             done=lambda error, worker=worker: results.__setitem__(worker, error),
--- a/anvilflow/parts/tests/test_whole_path.py
+++ b/anvilflow/parts/tests/test_whole_path.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("workload, n_tasks", [("refresh", 40), ("assembly", 12)])
-def test_job_runs_to_its_end(workload, n_tasks):
+def test_job_runs_to_completion(workload, n_tasks):
     cell = make_cell()
     answers = cell.submit("a2", make_job("j1", workload, n_tasks))
     cell.advance(8.0)
