--- a/anvilflow/parts/__init__.py
+++ b/anvilflow/parts/__init__.py
@@ -1,4 +1,4 @@
-"""Parts of a process: each owns its sockets and state, and talks by messages."""
+"""Parts of one instance; each owns its sockets and state and exchanges messages with the others."""
 
 from ..runtime import Bus, Part, ReactorNetwork, Supervisor
 from ._calls import JobCall, RequestAnswer, RequestCall
--- a/anvilflow/parts/_calls.py
+++ b/anvilflow/parts/_calls.py
@@ -1,4 +1,4 @@
-"""The bodies of callers' and operators' calls."""
+"""Bodies of the calls of the HTTP API for callers, and of the answers to requests."""
 
 from typing import Annotated
 
@@ -17,14 +17,14 @@
     ----------
     customer, workload : str
     payload : str
-        Handed to the target as it is.
+        Passed to the target unchanged.
     deadline_s : float, default=None
-        How long the caller waits; None: the instance's default. Unit: seconds.
+        Time that the caller waits; None: the instance's default. Unit: seconds.
     idempotent : bool, default=None
-        Whether it may run twice; None: as the workload says.
+        Whether the request may run more than once; None: as its workload declares.
     idempotency_key : str, default=""
-        With a non-idempotent request: repeating the call with the same key, at any instance, does
-        not run it again.
+        Key of a non-idempotent request. Repeating the call with the same key, at any instance,
+        does not run the request again.
     """
 
     customer: str
@@ -36,7 +36,7 @@
 
 
 class RequestAnswer(Struct, kw_only=True, omit_defaults=True):
-    """How a request ended."""
+    """Outcome of a request."""
 
     request_id: str
     outcome: str
@@ -49,7 +49,7 @@
 
 
 class JobCall(Struct, kw_only=True, forbid_unknown_fields=True, repr_omit_defaults=True):
-    """A job to submit."""
+    """A job to be submitted."""
 
     name: str
     customer: str
@@ -57,12 +57,12 @@
     tasks: list[str]
 
     def to_job(self):
-        """Return the resource."""
+        """Return the job as a resource."""
         return Job(name=self.name, customer=self.customer, workload=self.workload, tasks=self.tasks)
 
 
 def not_run_answer(request_id, reason, retry_after, *, code="AF302"):
-    """Return the answer that a request certainly did not run."""
+    """Return the answer for a request that certainly did not run."""
     return RequestAnswer(
         request_id=request_id,
         outcome=Outcome.NOT_RUN.value,
@@ -73,7 +73,7 @@
 
 
 def unknown_answer(request_id, reason):
-    """Return the answer that a request may have run."""
+    """Return the answer for a request that may or may not have run."""
     return RequestAnswer(
         request_id=request_id, outcome=Outcome.UNKNOWN.value, code="AF412", reason=reason
     )
--- a/anvilflow/parts/_config.py
+++ b/anvilflow/parts/_config.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the table."""
+"""Part that keeps the catalog up to date with the configuration stored in the table."""
 
 from collections import deque
 
@@ -9,15 +9,16 @@
 from ..runtime import Part
 from ._events import CatalogChanged, RevisionHint
 
-#: Changes kept in memory for watches that resume.
+#: Number of changes kept in memory for watches that resume at an earlier revision.
 _CHANGES_KEPT = 5000
 
 
 class ConfigPart(Part):
-    """Brings the catalog forward, one revision at a time and never back.
+    """Applies changes of the configuration to the catalog, in order of their revisions.
 
-    The newest revision is polled; a peer's heartbeat that shows a newer one makes the next poll
-    come at once, so that a change is in force everywhere soon after the first instance has it.
+    The catalog never goes back to an earlier revision. The table is polled for new revisions. A
+    heartbeat of a peer that has a newer revision triggers the next poll at once, so that a change
+    is in force on all instances soon after the first one has read it.
     """
 
     prefix = "config"
@@ -30,13 +31,13 @@
         self._has_listing = False
 
     def start(self):
-        """Follow the table."""
+        """Start polling the table."""
         self.context.changes = self
         self.on(RevisionHint, lambda *_: self._ticker.trigger())
         self._ticker = self.every(self.context.settings.timing.config_poll_s, self._read_changes)
 
     def dump(self):
-        """Return the revision in force."""
+        """Return the revision in force and the numbers of resources and of kept changes."""
         return {
             "revision": self.context.catalog.revision,
             "resources": len(self.context.catalog),
@@ -48,7 +49,7 @@
         self._ticker.trigger()
 
     def changes_after(self, revision, limit):
-        """Return the changes that follow `revision`; AF203 when they are no longer kept."""
+        """Return up to `limit` changes after `revision`; raise AF203 when they are not kept."""
         if revision >= self.context.catalog.revision:
             return []
         if not self._changes or self._changes[0].revision > revision + 1:
--- a/anvilflow/parts/_context.py
+++ b/anvilflow/parts/_context.py
@@ -1,4 +1,4 @@
-"""What the parts of a process share: settings, time, messages and clients."""
+"""Shared state of the parts of one instance: settings, clock, message bus and clients."""
 
 import uuid
 from random import Random
@@ -9,7 +9,9 @@
 
 
 class Context:
-    """Shared by the parts of one process; each field has one part that changes it.
+    """Settings, services and state that the parts of one instance share.
+
+    Each field of the state is set by only one part.
 
     Parameters
     ----------
@@ -17,11 +19,11 @@
     clock : IReactorTime
     bus : Bus
     network : object
-        Listens and dials for the peers part.
+        Listens on sockets and connects to peers.
     table, objects, membership : clients of the platform
     resources : ResourceStore
     make_worker : callable
-        Returns a worker client for a :class:`MemberInfo`.
+        Returns a client for the worker of a :class:`MemberInfo`.
     random_state : random.Random
     history : History, default=None
     """
@@ -69,7 +71,7 @@
         return self.settings.instance.name
 
     def send(self, instance, body):
-        """Send a message to another instance or to this one; False when it cannot go."""
+        """Send a message to an instance, also to this one; return False when it cannot be sent."""
         if instance == self.name:
             self.bus.post(body, source=instance)
             return True
--- a/anvilflow/parts/_daemon.py
+++ b/anvilflow/parts/_daemon.py
@@ -1,4 +1,4 @@
-"""One instance: its parts under their supervisor, from start to drained stop."""
+"""Start, drain and stop of one instance: its parts and their supervisor."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
@@ -23,24 +23,24 @@
 from ._peers import PeersPart
 from ._store import StorePart
 
-#: Period of looking whether the work in progress is done. Unit: seconds.
+#: Period of the check whether the work in progress is done. Unit: seconds.
 _DRAIN_POLL_S = 0.05
 
-#: Time for which the instance goes on taking calls while its health says that it is leaving, so
-#: that the balancer learns of it before a connection is refused. Unit: seconds.
+#: Time during which a leaving instance still accepts calls while its health check fails, so that
+#: the load balancer stops using the instance before a connection is refused. Unit: seconds.
 _BALANCER_GRACE_S = 1.0
 
 
 class Daemon:
-    """The parts of one instance.
+    """Runs the parts of one instance.
 
     Parameters
     ----------
     context : Context
     give_up : callable
-        Called with the coded error when a part keeps failing.
+        Called with the coded error when a part fails repeatedly.
     clients : dict of str to HttpClient, default=None
-        Whose traffic the dump shows.
+        HTTP clients by name, whose traffic the dump shows.
     """
 
     def __init__(self, *, context, give_up, clients=None):
@@ -63,7 +63,7 @@
         self.supervisor.start()
 
     def dump(self):
-        """Return the state of every part."""
+        """Return the state of the instance and of every part."""
         return {
             "instance": self.context.name,
             "incarnation": self.context.incarnation,
@@ -77,16 +77,17 @@
         }
 
     def crash(self):
-        """Stop at once, as a process does that is killed."""
+        """Stop at once without draining, to simulate a killed process."""
         return self.supervisor.stop()
 
     @inlineCallbacks
     def drain(self):
-        """Hand over, finish what is in progress, and stop.
+        """Hand over workers and customers, finish the work in progress, and stop.
 
-        First the health check fails and the peers are told, so that nothing new is sent here;
-        workers and coordinators go to others. What is in progress is then awaited, for as long as
-        the setting says.
+        First the health check fails and the peers are notified, so that no new work is sent to
+        this instance. Other instances take over its workers and the coordination of its customers'
+        jobs. The instance then waits until its work in progress has ended, for at most the setting
+        ``timing.drain_s``.
         """
         context = self.context
         if context.leaving:
--- a/anvilflow/parts/_events.py
+++ b/anvilflow/parts/_events.py
@@ -1,4 +1,4 @@
-"""Messages between the parts of one process."""
+"""Messages between the parts of one instance."""
 
 from typing import Any
 
@@ -6,52 +6,58 @@
 
 
 class MembersListed(Struct, kw_only=True):
-    """The membership list as last read."""
+    """The membership list was read; `members` holds all of its entries."""
 
     members: list
 
 
 class LiveChanged(Struct, kw_only=True):
-    """The instances that are live, and the workers on the list by name."""
+    """The set of live instances or the listed workers (by name) changed."""
 
     live: tuple
     workers: dict
 
 
 class PeerUp(Struct, kw_only=True):
-    """A connection to an instance is there."""
+    """A connection to another instance was established."""
 
     instance: str
     incarnation: str
 
 
 class PeerDown(Struct, kw_only=True):
-    """The connection to an instance is gone; what was sent over it may not have arrived."""
+    """The connection to an instance was lost; messages sent over it may not have arrived.
+
+    `heard_at` is the time at which the last frame was received from the instance. Unit: seconds.
+    """
 
     instance: str
     heard_at: float
 
 
 class PeerLeaving(Struct, kw_only=True):
-    """An instance says that it is leaving."""
+    """Another instance reported that it is leaving."""
 
     instance: str
 
 
 class WorkersLeaving(Struct, kw_only=True):
-    """Another instance has read on the list that these workers leave."""
+    """Another instance reported that the membership list shows these workers as leaving."""
 
     workers: list
 
 
 class DigestReady(Struct, kw_only=True):
-    """What the owner part tells other instances of its load."""
+    """The owner part computed a new digest of its load, to be sent to the other instances."""
 
     digest: Any
 
 
 class CatalogChanged(Struct, kw_only=True):
-    """The configuration in force moved on; `keys` is None after a whole listing."""
+    """A new revision of the configuration is in force.
+
+    `keys` are those of the changed resources, or None when all resources were read anew.
+    """
 
     revision: int
     keys: list | None
@@ -64,7 +70,10 @@
 
 
 class CommitRequest(Struct, kw_only=True):
-    """Write records, on conditions; `done` is called with None or the error."""
+    """Request to write records in one transaction under conditions.
+
+    `done` is called with None when the records are durable, else with the error.
+    """
 
     conditions: list
     writes: list
--- a/anvilflow/parts/_gateway.py
+++ b/anvilflow/parts/_gateway.py
@@ -1,4 +1,4 @@
-"""Callers' API: takes requests and jobs at this instance and sees them to their answer."""
+"""HTTP API for callers: sends requests to the instances that own workers, and stores jobs."""
 
 import uuid
 
@@ -46,20 +46,22 @@
     Outcome.UNKNOWN: 504,
 }
 
-#: Time beyond the deadline for which the owner's word is awaited that the request never ran.
+#: Time after the deadline during which the owner can still report that the request did not run.
+#: Unit: seconds.
 _ANSWER_GRACE_S = 0.25
 
-#: Attempts of one request.
+#: Largest number of attempts of one request.
 _MAX_ATTEMPTS = 4
 
-#: Wait before another attempt that was refused. Unit: seconds.
+#: Least time left before the deadline for another attempt, and the retry-after of an attempt whose
+#: owner cannot be reached. Unit: seconds.
 _RETRY_WAIT_S = 0.02
 
 _ENDED_PHASES = {JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED}
 
 
 class _PendingAttempt:
-    """One attempt that waits for its owner's word."""
+    """One attempt of a request that has no answer from its owner yet."""
 
     __slots__ = ("answer", "owner")
 
@@ -69,11 +71,11 @@
 
 
 class GatewayPart(Part):
-    """Serves callers.
+    """Serves the HTTP API for callers.
 
-    A request is sent to one owner at a time. The answer is matched by the attempt's identity,
-    which is unique in the cell: one that comes late, twice or after the caller has gone finds no
-    attempt and is dropped.
+    A request is sent to one owner at a time. Answers are matched by the identifier of the attempt,
+    which is unique in the cell. An answer that arrives late or twice matches no pending attempt and
+    is dropped. The answer for a caller that has disconnected is dropped, too.
     """
 
     prefix = "entry"
@@ -90,11 +92,11 @@
 
     @property
     def n_in_progress(self):
-        """Requests that have no answer yet."""
+        """Number of requests that have no answer yet."""
         return self._n_open
 
     def start(self):
-        """Listen."""
+        """Listen for callers and subscribe to messages of owners."""
         settings = self.context.settings
         site = LimitedSite(self.app.resource(), max_connections=settings.limits.caller_connections)
         port, self.context.callers_address = self.context.network.listen(
@@ -106,12 +108,12 @@
         self.on(StatusAnswer, self._status_received)
 
     def dump(self):
-        """Return what is in progress."""
+        """Return the numbers of open requests, pending attempts and requests accepted so far."""
         return {"requests": self._n_open, "attempts": len(self._pending), "taken": self._n_requests}
 
     @app.handle_errors(HTTPException)
     def no_route(self, request, failure):
-        """Answer a path or method that is not served."""
+        """Answer a call to an unknown path or with an unsupported method."""
         return answer_no_route(request, failure)
 
     # Requests
@@ -119,14 +121,14 @@
     @app.route("/v1/requests", methods=["POST"])
     @json_errors
     def post_request(self, request):
-        """Run a service request."""
+        """Run a service request and answer with its outcome."""
         call = decode(read_body(request, self.context.settings.limits.body_bytes), RequestCall)
         done = self.serve(call)
         done.addCallback(lambda answer: self._reply(request, answer))
         return shielded(done)
 
     def serve(self, call):
-        """Run a checked call; the Deferred fires with its :class:`RequestAnswer`."""
+        """Check and run a call; the Deferred fires with its :class:`RequestAnswer`."""
         self._check_ready()
         if self._n_open >= self.context.settings.limits.requests_in_flight:
             raise RequestError("too many requests at this instance", details={"retry_after_s": 1})
@@ -192,7 +194,7 @@
             answer.request_id = request_id
             may_have_run = may_have_run or answer.outcome == Outcome.UNKNOWN
             if may_have_run and answer.outcome == Outcome.NOT_RUN:
-                # Only this attempt did not run: an earlier one gave no answer and may have.
+                # "Not run" covers only this attempt. An earlier attempt may have run.
                 answer.outcome = Outcome.UNKNOWN.value
             if not self._may_retry(answer, idempotent, deadline):
                 return answer
@@ -260,13 +262,17 @@
             self._complete_attempt(attempt_id, unknown)
 
     def _complete_attempt(self, attempt_id, answer):
-        # A cancel sent to this very instance is answered before the call that sent it returns.
+        # When this instance is the owner, its answer to CancelRequest completes the attempt before
+        # `send` returns in `_deadline_passed`. The attempt is then no longer pending here.
         pending = self._pending.pop(attempt_id, None)
         if pending is not None:
             pending.answer.callback(answer)
 
     def _choose_owner(self, tried_owners):
-        """Choose between two owners by their last digests, leaving out those that refused."""
+        """Return the owner with more free capacity of two random ones; None when there is none.
+
+        Capacity is taken from the owners' last digests. Owners in `tried_owners` are left out.
+        """
         digests = self.context.digests
         eligible = [
             name
@@ -287,7 +293,7 @@
     @json_errors
     @inlineCallbacks
     def post_job(self, request):
-        """Submit a job: answered when it is durable."""
+        """Submit a job; answered when the job is durable."""
         body = read_body(request, self.context.settings.limits.body_bytes * 4)
         job = decode(body, JobCall).to_job()
         written = yield self.submit(job)
@@ -299,7 +305,7 @@
 
     @inlineCallbacks
     def submit(self, job):
-        """Check a job and write it down; the Deferred fires with what was written."""
+        """Check and store a job; the Deferred fires with the result of the write."""
         check_resource(job)
         self._check_ready()
         limit = self.context.settings.limits.tasks_per_job
@@ -309,7 +315,7 @@
         self._check_fits(job)
 
         def keep_equal_job(stored):
-            """Submitting again what is there already changes nothing."""
+            """Return the stored job when it equals the submitted one, so that nothing changes."""
             if stored is not None and stored.tasks == job.tasks and stored.workload == job.workload:
                 return stored
             return job
@@ -321,7 +327,7 @@
         return written
 
     def _check_fits(self, job):
-        """Refuse a job whose task fits no worker that the cell has; say what it lacks."""
+        """Raise AF102, with the amounts that are too large, when a task fits no worker."""
         needs = self.context.catalog.workload(job.workload).needs
         shapes = [shape for digest in self.context.digests.values() for shape in digest.shapes]
         if not shapes or any(needs.fits(shape) for shape in shapes):
@@ -336,7 +342,7 @@
     @json_errors
     @inlineCallbacks
     def get_job(self, request, customer, name):
-        """Return where a job stands, why it waits, and on demand its results."""
+        """Return a job, its progress and why it waits; on request also the results of its tasks."""
         job = self.context.catalog.get(f"Job/{customer}/{name}")
         if job is None:
             raise NotFoundError(f"job {customer}/{name} does not exist")
@@ -354,7 +360,7 @@
 
     @inlineCallbacks
     def _with_result(self, record):
-        """Return a task's record with its result, from the object store where it is there."""
+        """Return a task's record with its result, read from the object store when kept there."""
         if "object" not in record:
             return record
         body = yield self.context.objects.get(record["object"])
@@ -364,13 +370,13 @@
     @json_errors
     @inlineCallbacks
     def cancel_job(self, request, customer, name):
-        """Cancel a job: it is cancelled when its phase says so."""
+        """Request the cancellation of a job; its phase shows when the job is cancelled."""
         written = yield self.cancel(customer, name)
         return answer_json(request, {"revision": written.revision}, status=202)
 
     @inlineCallbacks
     def cancel(self, customer, name):
-        """Have a job cancelled; the Deferred fires when that is durable."""
+        """Mark a job as being cancelled; the Deferred fires when the mark is durable."""
 
         def mark_cancelling(job):
             if job is None:
--- a/anvilflow/parts/_http_api.py
+++ b/anvilflow/parts/_http_api.py
@@ -1,4 +1,4 @@
-"""Serving klein apps with limits and coded errors."""
+"""Helpers of the HTTP APIs: limits on connections and bodies, JSON answers and coded errors."""
 
 from functools import wraps
 
@@ -9,14 +9,14 @@
 from ..exceptions import AnvilflowError, NotFoundError, TooLargeError
 from ..utils import encode
 
-#: Idle time after which a kept connection is closed. Unit: seconds.
+#: Time after which an idle keep-alive connection is closed. Unit: seconds.
 IDLE_TIMEOUT_S = 120
 
 _log = Logger("http")
 
 
 class LimitedSite(Site):
-    """A site with a bounded number of connections.
+    """A site that refuses connections beyond a limit.
 
     Parameters
     ----------
@@ -45,18 +45,18 @@
         return channel
 
     def log(self, request):
-        """Write no access log: waiting times and outcomes are in the metrics."""
+        """Write no access log; waiting times and outcomes are available as metrics."""
 
 
 def answer_json(request, value, *, status=200):
-    """Return `value` as the JSON body of the answer."""
+    """Set status and content type of the answer; return `value` encoded as its JSON body."""
     request.setResponseCode(status)
     request.setHeader(b"content-type", b"application/json")
     return encode(value)
 
 
 def answer_error(request, exc):
-    """Return a coded error as the body of the answer."""
+    """Set status and headers for a coded error; return the error encoded as the body."""
     retry_after = (exc.details or {}).get("retry_after_s")
     if retry_after is not None:
         request.setHeader(b"retry-after", str(max(1, round(retry_after))).encode())
@@ -64,7 +64,10 @@
 
 
 def json_errors(endpoint):
-    """Turn failures of an endpoint into coded answers; one that is not ours is logged whole."""
+    """Decorate an endpoint so that its failures are answered with coded errors as JSON.
+
+    Exceptions that are not an :class:`AnvilflowError` are logged with their traceback.
+    """
 
     @wraps(endpoint)
     def wrapped(self, request, **kwargs):
@@ -76,10 +79,10 @@
 
 
 def shielded(done):
-    """Return a Deferred with the result of `done` that can be cancelled without touching it.
+    """Return a Deferred with the result of `done`; cancelling it does not cancel `done`.
 
-    When a caller goes, klein cancels what its endpoint returned. Work in progress must not be
-    torn apart by that: it runs on, and its result is dropped.
+    When a caller disconnects, klein cancels the Deferred that the endpoint returned. The work in
+    progress must not be interrupted by that: it continues, and its result is dropped.
     """
     outer = Deferred()
     done.addBoth(outer.callback)
@@ -96,21 +99,21 @@
 
 
 def answer_no_route(request, failure):
-    """Answer a call that no endpoint serves, with its own HTTP status."""
+    """Answer a call that no endpoint serves, with the HTTP status of the routing error."""
     error = NotFoundError("no such path or method; see the page of the API")
     return answer_json(request, {"error": error.to_dict()}, status=failure.value.code)
 
 
 def read_body(request, limit):
-    """Return the body of a call; AF303 when it is over `limit` bytes."""
+    """Return the body of a call; raise AF303 when it is larger than `limit` bytes."""
     body = request.content.read(limit + 1)
     if len(body) > limit:
-        raise TooLargeError(f"the body is over {limit} bytes")
+        raise TooLargeError(f"the body is larger than {limit} bytes")
     return body
 
 
 def query_argument(request, name, default=""):
-    """Return an argument of the query string."""
+    """Return the first value of an argument of the query string, or `default`."""
     values = request.args.get(name.encode())
     return values[0].decode("utf-8", "replace") if values else default
 
--- a/anvilflow/parts/_keys.py
+++ b/anvilflow/parts/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: claimed in the table before a request is sent, and how it ended."""
+"""Idempotency keys of requests: claims and outcomes, stored in the table."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
@@ -9,24 +9,26 @@
 from ._calls import RequestAnswer, not_run_answer, unknown_answer
 from ._events import CommitRequest
 
-#: Largest result that is kept with an idempotency key. Unit: bytes.
+#: Largest result that is stored with an idempotency key. Unit: bytes.
 _MAX_KEPT_RESULT_BYTES = 4096
 
-#: Period of looking for the end of a request whose key is claimed. Unit: seconds.
+#: Period of the check whether the request that holds a claimed key has ended. Unit: seconds.
 _KEY_POLL_S = 0.1
 
-#: Tries to take back a claim whose answer was lost, and the wait between them. Unit: seconds.
+#: Largest number of retries to release a claim whose answer was lost.
 _MAX_RELEASE_RETRIES = 120
+
+#: Delay between these retries. Unit: seconds.
 _RELEASE_RETRY_S = 5.0
 
 
 class KeyClaims:
-    """Claims of non-idempotent requests that carry a key.
+    """Claims and outcomes of non-idempotent requests that have an idempotency key.
 
     Parameters
     ----------
     part : Part
-        The entry part, whose context, clock and bus are used.
+        The :class:`GatewayPart`, whose context, clock and bus are used.
     """
 
     def __init__(self, *, part):
@@ -34,11 +36,15 @@
 
     @inlineCallbacks
     def claim(self, call, request_id, deadline):
-        """Claim the key durably before anything is sent.
+        """Claim the key of a call durably before the request is sent.
+
+        Returns the version of the claimed row, or an answer when the key cannot be claimed for
+        this request. When a request in progress has claimed the key, the call waits for the end of
+        that request until its own deadline.
 
-        Returns the version of the claimed row, or an answer when the key is not ours. The claim
-        is what makes the request run at most once however often and wherever the caller repeats
-        it: of two claims only one meets the condition that the row is as it was read.
+        The claim ensures that the request runs at most once, however often and at whichever
+        instance the caller repeats it: each claim is written on the condition that the row has not
+        changed since it was read, which only one of two concurrent claims meets.
         """
         key = _row_key(call)
         try:
@@ -55,15 +61,15 @@
         except PreconditionError:
             return unknown_answer(request_id, "another request with this key is in progress")
         except PlatformError as exc:
-            # Nothing was sent, so "not run" is certain. The claim may stand all the same; left
-            # there it would answer the caller's next try with "unknown" for ever.
+            # The request was not sent, so "not run" is certain. The claim may have been written
+            # nevertheless. If it stayed, every later call with this key would get "unknown".
             self._release_claim(key, request_id, _MAX_RELEASE_RETRIES)
             return not_run_answer(request_id, exc.message, 1.0, code=exc.code)
         return version
 
     @inlineCallbacks
     def _release_claim(self, key, request_id, retries_left):
-        """Take back a claim whose answer was lost, if it stands."""
+        """Release a claim whose answer was lost, if it was written."""
         try:
             [row] = yield self.part.context.table.read([key])
             if row.value and row.value["request_id"] == request_id and not row.value["outcome"]:
@@ -78,10 +84,10 @@
                 )
 
     def record_end(self, call, version, answer):
-        """Write down how the request ended.
+        """Store the outcome of the request.
 
-        The condition keeps a repeated write, whose first answer was lost, from going over a claim
-        that was made since on the strength of "not run".
+        After "not run" the key can be claimed again. The condition prevents a repeated write, whose
+        first answer was lost, from overwriting such a later claim.
         """
         key = _row_key(call)
         result = answer.result if len(answer.result) <= _MAX_KEPT_RESULT_BYTES else ""
@@ -100,7 +106,7 @@
 
 
 def _replayed_answer(value):
-    """Answer a repeated call with what is known of the first."""
+    """Return the answer to a repeated call, from the row of the first call."""
     answer = RequestAnswer(
         request_id=value["request_id"],
         outcome=value["outcome"] or Outcome.UNKNOWN.value,
--- a/anvilflow/parts/_members.py
+++ b/anvilflow/parts/_members.py
@@ -1,4 +1,4 @@
-"""Which instances are live, from the platform's lagging list and from what is heard."""
+"""Membership: live instances, from the platform's delayed list and the peer connections."""
 
 from msgspec import structs
 
@@ -14,23 +14,25 @@
     WorkersLeaving,
 )
 
-#: Age up to which the own reading of the list goes before a peer's word. Unit: seconds.
+#: Age of the list below which peers' reports of leaving workers are ignored, because the list read
+#: by this instance takes precedence. Unit: seconds.
 _LIST_FRESH_S = 1.0
 
-
-#: Evaluations of the view within the suspect time.
-_EVALUATIONS_PER_SUSPECT_TIME = 3
+#: Number of periodic updates of the view within the suspect time.
+_UPDATES_PER_SUSPECT_TIME = 3
 
 
 class MembersPart(Part):
-    """Merges the membership list with the connections.
+    """Determines the live instances from the membership list and the peer connections.
 
-    An instance is live when it is connected, or when it is listed and was connected or first
-    listed less than the suspect time ago. The list alone shows a dead instance for a minute; a
-    connection alone would move all work away at each short break.
+    An instance that is not leaving is live when it is connected. A listed instance without a
+    connection is live until the suspect time (setting ``timing.suspect_s``) has passed since its
+    last message or, if it was never connected, since it was first listed. The list alone would show
+    a crashed instance as live for a minute. Connections alone would move all work away at each
+    short interruption.
 
-    This is a view and no more: two instances may hold different ones for a while. What they do
-    with it is fenced at the workers and in the table.
+    Two instances may have different views for a while. This is safe because actions based on the
+    view are fenced at the workers and in the table.
     """
 
     prefix = "members"
@@ -45,7 +47,7 @@
         self._read_at = 0.0
 
     def start(self):
-        """Follow the list and the connections."""
+        """Start polling the list and subscribe to events of the connections."""
         timing = self.context.settings.timing
         self.on(PeerUp, self._peer_up)
         self.on(PeerDown, self._peer_down)
@@ -53,11 +55,11 @@
         self.on(WorkersLeaving, self._workers_leaving)
         self.on(LeavingChanged, lambda *_: self._update_view())
         self.every(timing.membership_poll_s, self._poll)
-        period = timing.suspect_s / _EVALUATIONS_PER_SUSPECT_TIME
+        period = timing.suspect_s / _UPDATES_PER_SUSPECT_TIME
         self.every(period, self._update_view, delay=period)
 
     def dump(self):
-        """Return the view."""
+        """Return the live, leaving, connected and listed instances."""
         return {
             "live": list(self.context.live),
             "leaving": sorted(self._leaving),
@@ -90,8 +92,9 @@
 
     def _peer_down(self, _, event):
         self._connected.discard(event.instance)
-        # Counted from when it was last heard: a connection that was dropped for its silence has
-        # used up the suspect time already, and waiting it out again would double the take-over.
+        # The suspect time counts from the last frame of the peer. When the connection was dropped
+        # because the peer was unresponsive, the suspect time has already passed. To let it pass
+        # once more would double the time until the take-over.
         self._seen_at[event.instance] = event.heard_at
 
     def _peer_leaving(self, _, event):
@@ -100,10 +103,10 @@
             self._update_view()
 
     def _workers_leaving(self, _, event):
-        """Take a peer's word for workers that leave, when the own list is old.
+        """Apply a peer's report of leaving workers when the last read of the list is too old.
 
-        Where the list can be read by some and not by others, the others would go on giving work
-        to a worker that leaves.
+        When only some instances can read the list, the others would otherwise continue to place
+        work on workers that are leaving.
         """
         if self.now - self._read_at < _LIST_FRESH_S:
             return
--- a/anvilflow/parts/_operators.py
+++ b/anvilflow/parts/_operators.py
@@ -1,4 +1,4 @@
-"""Operators' resource API, watch, metrics, health and dump."""
+"""HTTP API for operators: resources, watch, health, status, metrics and dump."""
 
 from klein import Klein
 from twisted.internet.defer import Deferred, inlineCallbacks
@@ -27,12 +27,19 @@
 _MAX_WATCH_S = 60.0
 _MAX_WATCHES = 100
 
-#: Kinds that can be listed and watched.
+#: Kinds of resources in the catalog. Worker and Instance can also be listed.
 _KINDS = {*DECLARED_KINDS, "Job"}
 
 
 class OperatorsPart(Part):
-    """Serves operators."""
+    """Serves the HTTP API for operators.
+
+    Parameters
+    ----------
+    context : Context
+    dump_all : callable
+        Returns the state of all parts of the instance.
+    """
 
     prefix = "operators"
     app = Klein()
@@ -43,7 +50,7 @@
         self._watches = set()
 
     def start(self):
-        """Listen."""
+        """Listen for operators and subscribe to changes of the catalog."""
         site = LimitedSite(self.app.resource(), max_connections=_MAX_CONNECTIONS)
         port, self.context.operators_address = self.context.network.listen(
             self.context.settings.listen.operators, site
@@ -52,17 +59,17 @@
         self.on(CatalogChanged, self._end_watches)
 
     def stop(self):
-        """Answer the open watches and stop."""
+        """Answer all open watches and stop."""
         self._end_watches(None, None)
         super().stop()
 
     def dump(self):
-        """Return the open watches."""
+        """Return the number of open watches."""
         return {"watches": len(self._watches)}
 
     @app.handle_errors(HTTPException)
     def no_route(self, request, failure):
-        """Answer a path or method that is not served."""
+        """Answer a call to an unknown path or with an unsupported method."""
         return answer_no_route(request, failure)
 
     # Resources
@@ -70,7 +77,10 @@
     @app.route("/v1/resources/<kind>", methods=["GET"])
     @json_errors
     def list_resources(self, request, kind):
-        """Return a page of resources, sorted by key."""
+        """Return a page of the resources of one kind, sorted by key.
+
+        Workers and instances are listed without paging.
+        """
         self._check_ready()
         match kind:
             case "Worker":
@@ -106,7 +116,10 @@
     @json_errors
     @inlineCallbacks
     def put_resource(self, request, kind, name):
-        """Create or replace a resource; ``?revision=N`` makes a write on a stale basis fail."""
+        """Create or replace a resource.
+
+        With ``?revision=N`` the write fails when the resource has changed since revision N.
+        """
         self._check_ready()
         value = decode(read_body(request, _MAX_DECLARATION_BYTES), dict, error=DeclarationError)
         resource = parse_resource(value)
@@ -126,7 +139,7 @@
     @json_errors
     @inlineCallbacks
     def delete_resource(self, request, kind, name):
-        """Delete a resource that nothing refers to."""
+        """Delete a resource that no other resource refers to."""
         self._check_ready()
         if kind not in DECLARED_KINDS:
             raise NotFoundError(f"{kind} cannot be deleted; allowed: {_allowed_kinds()}")
@@ -141,7 +154,10 @@
     @json_errors
     @inlineCallbacks
     def watch(self, request):
-        """Return the changes after a revision, as soon as there is one or when the wait is over."""
+        """Return the changes after a revision.
+
+        The answer is sent at the next change, or without changes after the timeout of the call.
+        """
         self._check_ready()
         after = _number_argument(request, "after", self.context.catalog.revision, None)
         wait = _number_argument(request, "timeout_s", _DEFAULT_WATCH_S, _MAX_WATCH_S)
@@ -157,7 +173,7 @@
     @app.route("/health", methods=["GET"])
     @json_errors
     def health(self, request):
-        """Say whether callers may be sent here; the balancer asks."""
+        """Return whether the load balancer may send callers to this instance."""
         if self.context.leaving:
             raise NotReadyError("the instance is leaving")
         self._check_ready()
@@ -166,7 +182,7 @@
     @app.route("/v1/status", methods=["GET"])
     @json_errors
     def status(self, request):
-        """Return the instance's view of the cell in short."""
+        """Return a short summary of the instance's view of the cell."""
         context = self.context
         return answer_json(
             request,
@@ -183,7 +199,7 @@
     @app.route("/metrics", methods=["GET"])
     @json_errors
     def metrics(self, request):
-        """Return the metrics page."""
+        """Return all metrics in the Prometheus text format."""
         request.setHeader(b"content-type", b"text/plain; version=0.0.4")
         return self.context.metrics.page()
 
@@ -231,7 +247,7 @@
         return [{"name": name, "live": True} for name in self.context.live]
 
     def _wait_for_change(self, request, seconds):
-        """Wait for the next change, for `seconds`, or until the client goes."""
+        """Wait for the next change, at most `seconds`, or until the client disconnects."""
         waiting = Deferred()
         timer = self.later(seconds, self._end_watch, waiting)
         self._watches.add(waiting)
@@ -260,7 +276,7 @@
 def _check_kind(kind):
     if kind not in _KINDS:
         raise NotFoundError(
-            f"no kind {kind}; allowed: {', '.join(sorted(_KINDS))}, Worker, Instance"
+            f"unknown kind {kind}; allowed: {', '.join(sorted(_KINDS))}, Worker, Instance"
         )
 
 
@@ -271,7 +287,7 @@
     try:
         value = float(text)
     except ValueError as exc:
-        raise CallError(f"?{name}={text} is no number") from exc
+        raise CallError(f"?{name}={text} is not a number") from exc
     if value < 0 or (limit is not None and value > limit) or value != value:
         raise CallError(f"?{name}={text} is out of range; allowed: 0 to {limit or 'any'}")
     return value
--- a/anvilflow/parts/tests/test_http.py
+++ b/anvilflow/parts/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The callers' and operators' HTTP APIs, in memory."""
+"""Tests of the HTTP APIs for callers and operators, without sockets and in virtual time."""
 
 import json
 
@@ -12,14 +12,14 @@
 
 
 class HttpCaller:
-    """Makes HTTP calls to one part of an instance under virtual time."""
+    """Makes HTTP calls to one part of an instance in virtual time."""
 
     def __init__(self, cell, instance, part):
         self.cell = cell
         self.stub = StubTreq(cell.part(instance, part).app.resource())
 
     def call(self, method, path, body=None, *, seconds=0.5):
-        """Return status and decoded answer; None when there is none yet."""
+        """Return status and decoded answer, or None when there is no answer after `seconds`."""
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         results = []
         done = self.stub.request(method, f"http://a{path}", data=data if body is not None else None)
@@ -39,22 +39,25 @@
 
 
 def operators_api(cell, instance="a1"):
-    """Return a caller of the resource API."""
+    """Return a client of the HTTP API for operators."""
     return HttpCaller(cell, instance, "operators")
 
 
 def callers_api(cell, instance="a1"):
-    """Return a caller of the callers' API."""
+    """Return a client of the HTTP API for callers."""
     return HttpCaller(cell, instance, "entry")
 
 
 def customer(**values):
-    """Return the body of a customer."""
+    """Return the body that declares the customer `small`."""
     return {"kind": "Customer", "name": "small", **values}
 
 
 def test_concurrent_writes_of_two_operators_conflict():
-    """Both read revision R and write; the second hears that it is at R+1 and loses nothing."""
+    """Two operators read revision R of a resource and both write to it.
+
+    The second write must be refused with the current revision R+1, not overwrite the first.
+    """
     cell = make_cell()
     path = "/v1/resources/Customer/small"
     _, shown = operators_api(cell, "a1").call("GET", path)
@@ -184,7 +187,10 @@
 
 
 def test_instance_without_a_configuration_is_not_ready():
-    """All instances restart while the table is down: alive, dumping, and honest about it."""
+    """An instance starts while the table is unavailable, and so has no configuration.
+
+    It must answer its dump, fail its health check and refuse requests until the table is back.
+    """
     cell = make_cell(n_instances=1)
     cell.table_faults.down = True
     cell.crash_instance("a1")
--- a/anvilflow/parts/tests/test_whole_path.py
+++ b/anvilflow/parts/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path under virtual time: callers, entry, owner, worker, table."""
+"""Requests and jobs in a complete cell in virtual time, from the caller to worker and table."""
 
 import pytest
 
