--- a/anvilflow/parts/tests/test_http.py
+++ b/anvilflow/parts/tests/test_http.py
@@ -56,7 +56,7 @@
 def test_concurrent_writes_of_two_operators_conflict():
     """Two operators read revision R of a resource and both write to it.
 
-    The second write must be refused with the current revision R+1, not overwrite the first.
+    The second write must be refused, with the current revision R+1 in the answer.
     """
     cell = make_cell()
     path = "/v1/resources/Customer/small"
