--- a/anvilflow/parts/_config.py
+++ b/anvilflow/parts/_config.py
@@ -1,4 +1,4 @@
-"""Follows the configuration in the table."""
+"""Part that keeps the catalog up to date with the configuration stored in the table."""
 
 from collections import deque
 
@@ -9,15 +9,16 @@
 from ..runtime import Part
 from ._events import CatalogChanged, RevisionHint
 
-#: Changes kept in memory for watches that resume.
+#: Number of changes kept in memory for watches that resume at an earlier revision.
 _CHANGES_KEPT = 5000
 
 
 class ConfigPart(Part):
-    """Brings the catalog forward, one revision at a time and never back.
+    """Applies changes of the configuration to the catalog, in order of their revisions.
 
-    The newest revision is polled; a peer's heartbeat that shows a newer one makes the next poll
-    come at once, so that a change is in force everywhere soon after the first instance has it.
+    The catalog never goes back to an earlier revision. The table is polled for new revisions. A
+    heartbeat of a peer that has a newer revision triggers the next poll at once, so that a change
+    is in force on all instances soon after the first one has read it.
     """
 
     prefix = "config"
@@ -27,16 +28,16 @@
         self._changes = deque(maxlen=_CHANGES_KEPT)
         self._waiting = []
         self._ticker = None
-        self._listed = False
+        self._has_listing = False
 
     def start(self):
-        """Follow the table."""
+        """Start polling the table."""
         self.context.changes = self
         self.on(RevisionHint, lambda *_: self._ticker.trigger())
-        self._ticker = self.every(self.context.settings.timing.config_poll_s, self._follow)
+        self._ticker = self.every(self.context.settings.timing.config_poll_s, self._read_changes)
 
     def dump(self):
-        """Return the revision in force."""
+        """Return the revision in force and the numbers of resources and of kept changes."""
         return {
             "revision": self.context.catalog.revision,
             "resources": len(self.context.catalog),
@@ -48,7 +49,7 @@
         self._ticker.trigger()
 
     def changes_after(self, revision, limit):
-        """Return the changes that follow `revision`; AF203 when they are no longer kept."""
+        """Return up to `limit` changes after `revision`; raise AF203 when they are not kept."""
         if revision >= self.context.catalog.revision:
             return []
         if not self._changes or self._changes[0].revision > revision + 1:
@@ -64,38 +65,38 @@
         return [self._changes[at] for at in range(skip, min(len(self._changes), skip + limit))]
 
     @inlineCallbacks
-    def _follow(self):
+    def _read_changes(self):
         try:
-            if not self._listed:
-                yield self._list()
+            if not self._has_listing:
+                yield self._load_listing()
             more = True
             while more:
                 changes = yield self.context.resources.changes_after(self.context.catalog.revision)
                 more = bool(changes) and self._apply(changes)
         except RevisionGoneError:
-            self._listed = False
+            self._has_listing = False
             self._ticker.trigger()
         except PlatformError as exc:
             self.log.debug("Configuration not read: {}.", exc)
 
     @inlineCallbacks
-    def _list(self):
+    def _load_listing(self):
         revision, items = yield self.context.resources.listing()
         if self.context.catalog.load(revision, items):
             self._changes.clear()
-            self._listed = True
+            self._has_listing = True
             self.context.ready = True
-            self._in_force(None)
+            self._announce_revision(None)
             self.log.info("Revision {} in force, {} resources.", revision, len(items))
 
     def _apply(self, changes):
         applied = [change for change in changes if self.context.catalog.apply(change)]
         self._changes.extend(applied)
         if applied:
-            self._in_force([change.key for change in applied])
+            self._announce_revision([change.key for change in applied])
         return bool(applied)
 
-    def _in_force(self, keys):
+    def _announce_revision(self, keys):
         revision = self.context.catalog.revision
         if self.context.history is not None:
             self.context.history.add(
--- a/anvilflow/parts/_keys.py
+++ b/anvilflow/parts/_keys.py
@@ -1,4 +1,4 @@
-"""Idempotency keys: claimed in the table before a request is sent, and how it ended."""
+"""Idempotency keys of requests: claims and outcomes, stored in the table."""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
@@ -7,26 +7,28 @@
 from ..decisions import Outcome
 from ..exceptions import PlatformError, PreconditionError
 from ._calls import RequestAnswer, not_run_answer, unknown_answer
-from ._events import CommitAsk
+from ._events import CommitRequest
 
-#: Largest result that is kept with an idempotency key. Unit: bytes.
-_KEPT_RESULT_BYTES = 4096
+#: Largest result that is stored with an idempotency key. Unit: bytes.
+_MAX_KEPT_RESULT_BYTES = 4096
 
-#: Period of looking for the end of a request whose key is claimed. Unit: seconds.
+#: Period of the check whether the request that holds a claimed key has ended. Unit: seconds.
 _KEY_POLL_S = 0.1
 
-#: Tries to take back a claim whose answer was lost, and the wait between them. Unit: seconds.
-_RELEASE_TRIES = 120
-_RELEASE_AGAIN_S = 5.0
+#: Largest number of retries to release a claim whose answer was lost.
+_MAX_RELEASE_RETRIES = 120
+
+#: Delay between these retries. Unit: seconds.
+_RELEASE_RETRY_S = 5.0
 
 
 class KeyClaims:
-    """Claims of non-idempotent requests that carry a key.
+    """Claims and outcomes of non-idempotent requests that have an idempotency key.
 
     Parameters
     ----------
     part : Part
-        The entry part, whose context, clock and bus are used.
+        The :class:`GatewayPart`, whose context, clock and bus are used.
     """
 
     def __init__(self, *, part):
@@ -34,20 +36,24 @@
 
     @inlineCallbacks
     def claim(self, call, request_id, deadline):
-        """Claim the key durably before anything is sent.
+        """Claim the key of a call durably before the request is sent.
+
+        Returns the version of the claimed row, or an answer when the key cannot be claimed for
+        this request. When a request in progress has claimed the key, the call waits for the end of
+        that request until its own deadline.
 
-        Returns the version of the claimed row, or an answer when the key is not ours. The claim
-        is what makes the request run at most once however often and wherever the caller repeats
-        it: of two claims only one meets the condition that the row is as it was read.
+        The claim ensures that the request runs at most once, however often and at whichever
+        instance the caller repeats it: each claim is written on the condition that the row has not
+        changed since it was read, which only one of two concurrent claims meets.
         """
-        key = _key_of(call)
+        key = _row_key(call)
         try:
             [row] = yield self.part.context.table.read([key])
             while row.value and not row.value["outcome"] and self.part.now + _KEY_POLL_S < deadline:
                 yield deferLater(self.part.context.clock, _KEY_POLL_S, lambda: None)
                 [row] = yield self.part.context.table.read([key])
             if row.value and row.value["outcome"] != Outcome.NOT_RUN:
-                return _replay(row.value)
+                return _replayed_answer(row.value)
             value = {"request_id": request_id, "outcome": "", "result": ""}
             version = yield self.part.context.table.commit(
                 [Condition(key=key, version=row.version)], [Write(key=key, value=value)]
@@ -55,15 +61,15 @@
         except PreconditionError:
             return unknown_answer(request_id, "another request with this key is in progress")
         except PlatformError as exc:
-            # Nothing was sent, so "not run" is certain. The claim may stand all the same; left
-            # there it would answer the caller's next try with "unknown" for ever.
-            self._release(key, request_id, _RELEASE_TRIES)
+            # The request was not sent, so "not run" is certain. The claim may have been written
+            # nevertheless. If it stayed, every later call with this key would get "unknown".
+            self._release_claim(key, request_id, _MAX_RELEASE_RETRIES)
             return not_run_answer(request_id, exc.message, 1.0, code=exc.code)
         return version
 
     @inlineCallbacks
-    def _release(self, key, request_id, tries):
-        """Take back a claim whose answer was lost, if it stands."""
+    def _release_claim(self, key, request_id, retries_left):
+        """Release a claim whose answer was lost, if it was written."""
         try:
             [row] = yield self.part.context.table.read([key])
             if row.value and row.value["request_id"] == request_id and not row.value["outcome"]:
@@ -72,20 +78,22 @@
                     [Condition(key=key, version=row.version)], [Write(key=key, value=value)]
                 )
         except PlatformError:
-            if tries:
-                self.part.later(_RELEASE_AGAIN_S, self._release, key, request_id, tries - 1)
+            if retries_left:
+                self.part.later(
+                    _RELEASE_RETRY_S, self._release_claim, key, request_id, retries_left - 1
+                )
 
-    def write_end(self, call, version, answer):
-        """Write down how the request ended.
+    def record_end(self, call, version, answer):
+        """Store the outcome of the request.
 
-        The condition keeps a repeated write, whose first answer was lost, from going over a claim
-        that was made since on the strength of "not run".
+        After "not run" the key can be claimed again. The condition prevents a repeated write, whose
+        first answer was lost, from overwriting such a later claim.
         """
-        key = _key_of(call)
-        result = answer.result if len(answer.result) <= _KEPT_RESULT_BYTES else ""
+        key = _row_key(call)
+        result = answer.result if len(answer.result) <= _MAX_KEPT_RESULT_BYTES else ""
         value = {"request_id": answer.request_id, "outcome": answer.outcome, "result": result}
         self.part.post(
-            CommitAsk(
+            CommitRequest(
                 conditions=[Condition(key=key, version=version)],
                 writes=[Write(key=key, value=value)],
                 done=lambda error: None,
@@ -93,12 +101,12 @@
         )
 
 
-def _key_of(call):
+def _row_key(call):
     return f"key/{call.customer}/{call.idempotency_key}"
 
 
-def _replay(value):
-    """Answer a repeated call with what is known of the first."""
+def _replayed_answer(value):
+    """Return the answer to a repeated call, from the row of the first call."""
     answer = RequestAnswer(
         request_id=value["request_id"],
         outcome=value["outcome"] or Outcome.UNKNOWN.value,
--- a/anvilflow/parts/_members.py
+++ b/anvilflow/parts/_members.py
@@ -1,4 +1,4 @@
-"""Which instances are live, from the platform's lagging list and from what is heard."""
+"""Membership: live instances, from the platform's delayed list and the peer connections."""
 
 from msgspec import structs
 
@@ -14,23 +14,25 @@
     WorkersLeaving,
 )
 
-#: Age up to which the own reading of the list goes before a peer's word. Unit: seconds.
+#: Age of the list below which peers' reports of leaving workers are ignored, because the list read
+#: by this instance takes precedence. Unit: seconds.
 _LIST_FRESH_S = 1.0
 
-
-#: Evaluations of the view within the suspect time.
-_EVALUATIONS = 3
+#: Number of periodic updates of the view within the suspect time.
+_UPDATES_PER_SUSPECT_TIME = 3
 
 
 class MembersPart(Part):
-    """Merges the membership list with the connections.
+    """Determines the live instances from the membership list and the peer connections.
 
-    An instance is live when it is connected, or when it is listed and was connected or first
-    listed less than the suspect time ago. The list alone shows a dead instance for a minute; a
-    connection alone would move all work away at each short break.
+    An instance that is not leaving is live when it is connected. A listed instance without a
+    connection is live until the suspect time (setting ``timing.suspect_s``) has passed since its
+    last message or, if it was never connected, since it was first listed. The list alone would show
+    a crashed instance as live for a minute. Connections alone would move all work away at each
+    short interruption.
 
-    This is a view and no more: two instances may hold different ones for a while. What they do
-    with it is fenced at the workers and in the table.
+    Two instances may have different views for a while. This is safe because actions based on the
+    view are fenced at the workers and in the table.
     """
 
     prefix = "members"
@@ -38,26 +40,26 @@
     def __init__(self, *, context):
         super().__init__(context=context)
         self._listed = {}
-        self._since = {}
+        self._seen_at = {}
         self._connected = set()
         self._leaving = set()
-        self._known = None
+        self._last_view = None
         self._read_at = 0.0
 
     def start(self):
-        """Follow the list and the connections."""
+        """Start polling the list and subscribe to events of the connections."""
         timing = self.context.settings.timing
         self.on(PeerUp, self._peer_up)
         self.on(PeerDown, self._peer_down)
         self.on(PeerLeaving, self._peer_leaving)
         self.on(WorkersLeaving, self._workers_leaving)
-        self.on(LeavingChanged, lambda *_: self._evaluate())
+        self.on(LeavingChanged, lambda *_: self._update_view())
         self.every(timing.membership_poll_s, self._poll)
-        period = timing.suspect_s / _EVALUATIONS
-        self.every(period, self._evaluate, delay=period)
+        period = timing.suspect_s / _UPDATES_PER_SUSPECT_TIME
+        self.every(period, self._update_view, delay=period)
 
     def dump(self):
-        """Return the view."""
+        """Return the live, leaving, connected and listed instances."""
         return {
             "live": list(self.context.live),
             "leaving": sorted(self._leaving),
@@ -67,43 +69,44 @@
 
     def _poll(self):
         done = self.context.membership.read()
-        done.addCallbacks(self._listed_anew, self._poll_failed)
+        done.addCallbacks(self._list_read, self._poll_failed)
         return done
 
     def _poll_failed(self, failure):
         failure.trap(PlatformError)
         self.log.debug("Membership list not read: {}.", failure.value)
 
-    def _listed_anew(self, listing):
+    def _list_read(self, listing):
         now = self.now
         self._read_at = now
         self._listed = {member.name: member for member in listing.members}
         for name in self._listed:
-            self._since.setdefault(name, now)
+            self._seen_at.setdefault(name, now)
         self.post(MembersListed(members=listing.members))
-        self._evaluate()
+        self._update_view()
 
     def _peer_up(self, _, event):
         self._connected.add(event.instance)
         self._leaving.discard(event.instance)
-        self._evaluate()
+        self._update_view()
 
     def _peer_down(self, _, event):
         self._connected.discard(event.instance)
-        # Counted from when it was last heard: a connection that was dropped for its silence has
-        # used up the suspect time already, and waiting it out again would double the take-over.
-        self._since[event.instance] = event.heard_at
+        # The suspect time counts from the last frame of the peer. When the connection was dropped
+        # because the peer was unresponsive, the suspect time has already passed. To let it pass
+        # once more would double the time until the take-over.
+        self._seen_at[event.instance] = event.heard_at
 
     def _peer_leaving(self, _, event):
         if event.instance not in self._leaving:
             self._leaving.add(event.instance)
-            self._evaluate()
+            self._update_view()
 
     def _workers_leaving(self, _, event):
-        """Take a peer's word for workers that leave, when the own list is old.
+        """Apply a peer's report of leaving workers when the last read of the list is too old.
 
-        Where the list can be read by some and not by others, the others would go on giving work
-        to a worker that leaves.
+        When only some instances can read the list, the others would otherwise continue to place
+        work on workers that are leaving.
         """
         if self.now - self._read_at < _LIST_FRESH_S:
             return
@@ -111,20 +114,20 @@
             member = self._listed.get(name)
             if member is not None and member.state != "leaving":
                 self._listed[name] = structs.replace(member, state="leaving")
-                self._evaluate()
+                self._update_view()
 
-    def _evaluate(self):
-        live = tuple(sorted(name for name in self._candidates() if self._is_live(name)))
+    def _update_view(self):
+        live = tuple(sorted(name for name in self._known_instances() if self._is_live(name)))
         workers = {name: member for name, member in self._listed.items() if member.role == "worker"}
         view = (live, workers)
-        if view == self._known:
+        if view == self._last_view:
             return
-        self._known = view
+        self._last_view = view
         self.context.live = live
         self.context.workers = workers
         self.post(LiveChanged(live=live, workers=workers))
 
-    def _candidates(self):
+    def _known_instances(self):
         instances = {name for name, member in self._listed.items() if member.role == "instance"}
         return instances | self._connected | {self.context.name}
 
@@ -138,4 +141,4 @@
             return False
         if name in self._connected:
             return True
-        return self.now - self._since.get(name, 0.0) < self.context.settings.timing.suspect_s
+        return self.now - self._seen_at.get(name, 0.0) < self.context.settings.timing.suspect_s
