--- a/anvilflow/parts/_peers.py
+++ b/anvilflow/parts/_peers.py
@@ -1,4 +1,4 @@
-"""Connections to the other instances."""
+"""Connections to the other instances, and the heartbeats sent over them."""
 
 from ..peers import Link, LinkFactory
 from ..peers.gen.ttypes import Heartbeat, Hello
@@ -13,19 +13,20 @@
     WorkersLeaving,
 )
 
-#: Of heartbeats that say nothing new, one in so many is sent.
-_QUIET_BEATS = 2
+#: While its content does not change, one heartbeat in this many is sent.
+_UNCHANGED_HEARTBEAT_INTERVAL = 2
 
-#: Leaving workers that a heartbeat names at the most.
+#: Largest number of leaving workers in one heartbeat.
 _MAX_LEAVING = 64
 
 
 class PeersPart(Part):
     """Keeps one connection to each instance on the membership list.
 
-    Of two instances the one whose name comes first dials. A connection on which nothing was heard
-    for the suspect time is dropped and dialled anew: something between the two ends may have lost
-    track of it, so that it stays silent for good while a new one works at once.
+    Of two instances, the one whose name sorts first dials. A connection over which nothing was
+    received for ``suspect_s`` seconds is closed and dialled again. A device between the two ends
+    may have lost the state of the connection: then the old connection never carries data again,
+    but a new one works at once.
     """
 
     prefix = "peers"
@@ -38,11 +39,11 @@
         self._open = set()
         self._sequence = 0
         self._digest = None
-        self._said = None
+        self._last_content = None
         self._port = None
 
     def start(self):
-        """Listen and start heartbeats."""
+        """Listen for peers, and start dialling and sending heartbeats."""
         context = self.context
         factory = LinkFactory(make_link=self._make_link)
         self._port, context.peer_address = context.network.listen(
@@ -72,14 +73,14 @@
         }
 
     def send_to(self, instance, body):
-        """Queue a message to another instance; return False when it cannot go."""
+        """Queue a message to another instance; return False when it cannot be sent."""
         link = self._links.get(instance)
         return link is not None and link.send(body)
 
     # Events of links
 
     def link_up(self, link):
-        """The peer has said who it is."""
+        """Register a link whose peer has sent its Hello; an older link to that peer is closed."""
         name = link.peer.instance
         former = self._links.get(name)
         if former is not None and former is not link:
@@ -88,7 +89,7 @@
         self.post(PeerUp(instance=name, incarnation=link.peer.incarnation))
 
     def link_down(self, link):
-        """The connection has ended."""
+        """Remove a link whose connection has ended."""
         self._open.discard(link)
         name = link.peer.instance if link.peer else None
         if name is not None and self._links.get(name) is link:
@@ -97,7 +98,7 @@
             self.post(PeerDown(instance=name, heard_at=link.heard_at))
 
     def link_message(self, link, body):
-        """A message came in."""
+        """Handle a heartbeat, or post any other message of a peer to the parts of this process."""
         name = link.peer.instance
         if isinstance(body, Heartbeat):
             self._heartbeat(name, body)
@@ -105,9 +106,9 @@
             self.context.bus.post(body, source=name)
 
     def link_broken(self, link, error):
-        """The peer sent what cannot be read."""
+        """Log that a peer sent an invalid frame; the link closes itself."""
         name = link.peer.instance if link.peer else "unknown"
-        self.log.warning("Connection to {} dropped: {}.", name, error)
+        self.log.warning("Connection to {} closed because of an invalid frame: {}.", name, error)
 
     # Internals
 
@@ -141,10 +142,11 @@
         self._dial_missing()
 
     def _dial_missing(self):
-        """Dial those that are not connected, also while the list cannot be read.
+        """Dial the listed instances that are not connected, also while the list is unavailable.
 
-        An instance that loses its connections during an outage of the list would otherwise stay
-        alone until the list is back, and hear neither of leaving workers nor of load.
+        The addresses are those of the last list that was read. Without this, an instance that loses
+        its connections during an outage of the list would stay isolated until the list is available
+        again, and would receive neither the leaving workers nor the load of other instances.
         """
         for member in self._members:
             if member.name > self.context.name:
@@ -160,7 +162,7 @@
         done.addBoth(lambda _: self._dialling.discard(member.name))
 
     def _dial_failed(self, failure, name):
-        self.log.debug("No connection to {}: {}.", name, failure.value)
+        self.log.debug("Dialling {} failed: {}.", name, failure.value)
 
     def _digest_ready(self, _, event):
         self._digest = event.digest
@@ -175,24 +177,29 @@
             digest=self._digest,
             leaving_workers=self._leaving_workers(),
         )
-        is_news = self._is_news(heartbeat)
+        should_send = self._should_send(heartbeat)
         limit = self.now - self.context.settings.timing.suspect_s
         for link in list(self._open):
             if link.heard_at < limit:
                 link.abort()
-            elif link.peer is not None and is_news:
+            elif link.peer is not None and should_send:
                 link.send(heartbeat)
 
-    def _is_news(self, heartbeat):
-        """Whether to send the heartbeat: it says something new, or every second one.
+    def _should_send(self, heartbeat):
+        """Whether to send the heartbeat: its content has changed, or it is every second one.
 
-        A peer that hears half as many heartbeats of an idle instance still hears two or more
-        within the suspect time.
+        A peer that receives half of the heartbeats of an idle instance still receives two or more
+        within ``suspect_s`` seconds.
         """
-        said = (heartbeat.revision, heartbeat.leaving, heartbeat.digest, heartbeat.leaving_workers)
-        if said == self._said and self._sequence % _QUIET_BEATS:
+        content = (
+            heartbeat.revision,
+            heartbeat.leaving,
+            heartbeat.digest,
+            heartbeat.leaving_workers,
+        )
+        if content == self._last_content and self._sequence % _UNCHANGED_HEARTBEAT_INTERVAL:
             return False
-        self._said = said
+        self._last_content = content
         return True
 
     def _leaving_workers(self):
--- a/anvilflow/parts/_store.py
+++ b/anvilflow/parts/_store.py
@@ -1,4 +1,4 @@
-"""Writes records to the table, many in one transaction."""
+"""Group commit of records to the table."""
 
 from collections import deque
 
@@ -14,10 +14,11 @@
 
 
 class StorePart(Part):
-    """Commits records in groups.
+    """Commits records to the table, many in one transaction.
 
-    Writes of a group are idempotent puts under conditions that they do not change. When an answer
-    is lost the same transaction is therefore simply made again, until the table says yes or no.
+    The writes of a group are idempotent puts, and they do not change the rows that their conditions
+    name. When the answer to a transaction is lost, the same transaction is therefore repeated until
+    the table accepts or refuses it.
     """
 
     prefix = "store"
@@ -32,16 +33,16 @@
         self.n_records = 0
 
     def start(self):
-        """Take records."""
-        self.on(CommitAsk, self._ask)
+        """Accept commit requests."""
+        self.on(CommitAsk, self._enqueue)
 
     def stop(self):
-        """Take no more."""
+        """Stop committing; queued records are not written."""
         self._stopped = True
         super().stop()
 
     def dump(self):
-        """Return what waits and what was written."""
+        """Return the length of the queue, the back-off and the counts of committed work."""
         return {
             "queued": len(self._queue),
             "backoff_s": self._backoff,
@@ -51,11 +52,11 @@
 
     @property
     def n_queued(self):
-        """Records that are not durable yet."""
+        """Number of queued commit requests, without those of the transaction in progress."""
         return len(self._queue)
 
-    def _ask(self, _, ask):
-        self._queue.append(ask)
+    def _enqueue(self, _, request):
+        self._queue.append(request)
         if not self._busy:
             self._busy = True
             self._run().addErrback(self.fail_with)
@@ -74,29 +75,30 @@
         n_records = 0
         versions = {}
         while self._queue and (not group or n_records + len(self._queue[0].writes) <= limit):
-            if not _agrees(self._queue[0], versions):
+            if not _conditions_agree(self._queue[0], versions):
                 break
-            ask = self._queue.popleft()
-            versions.update((item.key, item.version) for item in ask.conditions)
-            n_records += len(ask.writes)
-            group.append(ask)
+            request = self._queue.popleft()
+            versions.update((item.key, item.version) for item in request.conditions)
+            n_records += len(request.writes)
+            group.append(request)
         return group
 
     @inlineCallbacks
     def _commit_group(self, group):
         error = yield self._commit(group)
         if error is not None and len(group) > 1:
-            # One refused condition refuses the whole transaction; apart, only its own ask fails.
-            for ask in group:
-                yield self._commit_group([ask])
+            # One failed condition refuses the whole transaction. Committed one by one, only the
+            # request with that condition fails.
+            for request in group:
+                yield self._commit_group([request])
             return
-        for ask in group:
-            ask.done(error)
+        for request in group:
+            request.done(error)
 
     @inlineCallbacks
     def _commit(self, group):
-        conditions = {item.key: item for ask in group for item in ask.conditions}
-        writes = {item.key: item for ask in group for item in ask.writes}
+        conditions = {item.key: item for request in group for item in request.conditions}
+        writes = {item.key: item for request in group for item in request.writes}
         while not self._stopped:
             try:
                 yield self.context.table.commit(list(conditions.values()), list(writes.values()))
@@ -114,17 +116,18 @@
     def _wait(self, exc):
         limit = self.context.settings.store.backoff_max_s
         if not self._backoff:
-            self.log.warning("Table does not answer: {}.", exc)
+            self.log.warning("Table is unavailable; the transaction is repeated: {}.", exc)
         self._backoff = min(limit, max(_FIRST_BACKOFF_S, 2 * self._backoff))
         delay = jitter(self.context.random_state, self._backoff)
         return deferLater(self.context.clock, delay, lambda: None)
 
 
-def _agrees(ask, versions):
-    """Whether no condition of `ask` wants another version of a row than `versions` does.
+def _conditions_agree(request, versions):
+    """Whether no condition of `request` requires another version of a row than `versions` does.
 
-    A coordinator that lost its row and took it again has records of both terms in the queue. In one
-    transaction only one version of the row can be the condition: the former term's records were
-    written under the present one, named the wrong worker, and a task started in a second place.
+    A coordinator that lost its row and claimed it again has records of both terms in the queue. A
+    transaction can require only one version of the row. In one transaction, the records of the
+    former term were written under the condition of the current term. They named the wrong worker,
+    and a task was started in a second place.
     """
-    return all(versions.get(item.key, item.version) == item.version for item in ask.conditions)
+    return all(versions.get(item.key, item.version) == item.version for item in request.conditions)
