--- a/anvilflow/parts/_coordinator.py
+++ b/anvilflow/parts/_coordinator.py
@@ -1,4 +1,10 @@
-"""Coordinator of customers' jobs: asks owners for places and records what happens to tasks."""
+"""Coordinator of customers' jobs: reserves places for tasks and records their progress.
+
+The coordinator of a customer is the instance that runs the customer's jobs. It asks the owners of
+workers for holds. A hold is a place that an owner reserves on a worker for one attempt of a task.
+Once a hold is granted, the coordinator records in the table where the attempt will run, and only
+then asks the owner to start it.
+"""
 
 from collections import deque
 
@@ -36,29 +42,48 @@
 from ..utils import encode, jitter
 from ._events import CatalogChanged, CommitAsk, LeavingChanged, LiveChanged, PeerDown
 
-#: Period of asking for places. Unit: seconds.
+#: Period of the requests for holds, with and without customers to coordinate. Unit: seconds.
 _TICK_S = 0.05
 _IDLE_TICK_S = 0.5
 
-#: Period of asking owners what became of tasks. Unit: seconds.
+#: Period of the queries to owners for the states of tasks. Unit: seconds.
 _QUERY_S = 1.0
 
-#: Wait before a coordinator is claimed again, or a phase written again. Unit: seconds.
-_AGAIN_S = 0.5
+#: Delay before a failed take-over, object upload or write of a phase is retried. Unit: seconds.
+_RETRY_DELAY_S = 0.5
 
-#: Largest result that is kept in the task's row. Unit: bytes.
+#: Largest result that is stored in the task's row; others go to the object store. Unit: bytes.
 INLINE_RESULT_BYTES = 4096
 
 _ENDED = {JobPhase.COMPLETED, JobPhase.FAILED, JobPhase.CANCELLED}
 
 
 def coordinator_key(customer):
-    """Return the key by which the coordinator of a customer is chosen."""
+    """Return the key of a customer's coordinator.
+
+    It is the key of the coordinator's row, and the instance is chosen by it.
+    """
     return f"home/{customer}"
 
 
 class _Coordinator:
-    """One customer whose coordinator this instance is."""
+    """State of one customer whose jobs this instance coordinates.
+
+    Parameters
+    ----------
+    scheduler : JobCoordinator
+    epoch : int
+        Version of the coordinator's row as this instance wrote it.
+
+    Attributes
+    ----------
+    records : dict
+        Task records, read at the take-over, of jobs that the scheduler does not have yet, by job.
+    owners : dict
+        Instance that was asked for a hold, by hold ID.
+    stopping : dict
+        Worker of each attempt whose stop is not confirmed yet, by hold ID.
+    """
 
     __slots__ = ("epoch", "owners", "records", "scheduler", "stopping")
 
@@ -71,11 +96,12 @@
 
 
 class CoordinatorPart(Part):
-    """Runs the jobs of the customers that fall to this instance.
+    """Runs the jobs of the customers that are assigned to this instance.
 
-    The coordinator's row in the table fences it: each record of an intent is written on the
-    condition that the row is as this coordinator left it. A coordinator that was paused while
-    another took over can thereby record nothing, and what is not recorded is not started.
+    The coordinator's row in the table is its fence. An intent (which attempt will run on which
+    worker) and an end of a task are recorded on the condition that the row still has the version
+    that this coordinator wrote. A coordinator that was paused while another instance took over can
+    therefore record nothing, and an attempt whose intent is not recorded is not started.
     """
 
     prefix = "home"
@@ -90,7 +116,7 @@
         self._acting = False
 
     def start(self):
-        """Take messages and customers."""
+        """Subscribe to messages and take over the customers that are assigned to this instance."""
         self.on(LiveChanged, lambda *_: self._review())
         self.on(LeavingChanged, lambda *_: self._review())
         self.on(CatalogChanged, self._catalog_changed)
@@ -105,13 +131,13 @@
         self._review()
 
     def stop(self):
-        """Give up all customers."""
+        """Stop coordinating all customers."""
         self._stopped = True
         self._coordinators.clear()
         super().stop()
 
     def dump(self):
-        """Return the jobs by customer."""
+        """Return the epoch and the statuses of jobs, by customer."""
         return {
             customer: {
                 "epoch": coordinator.epoch,
@@ -123,7 +149,7 @@
             for customer, coordinator in self._coordinators.items()
         }
 
-    # Which customers
+    # Assignment of customers
 
     def _active_jobs(self):
         jobs = {}
@@ -132,7 +158,7 @@
                 jobs.setdefault(job.customer, []).append(job)
         return jobs
 
-    def _mine(self, customer):
+    def _is_assigned(self, customer):
         context = self.context
         return (
             not self._stopped
@@ -140,11 +166,11 @@
         )
 
     def _review(self):
-        for customer in [name for name in self._coordinators if not self._mine(name)]:
+        for customer in [name for name in self._coordinators if not self._is_assigned(name)]:
             del self._coordinators[customer]
-            self.log.info("Jobs of {} given up.", customer)
+            self.log.info("Jobs of {} are no longer coordinated by this instance.", customer)
         for customer in self._active_jobs():
-            if self._mine(customer) and customer not in self._coordinators:
+            if self._is_assigned(customer) and customer not in self._coordinators:
                 self._load(customer)
 
     def _load(self, customer):
@@ -157,20 +183,22 @@
 
     def _load_failed(self, failure, customer):
         failure.trap(PlatformError)
-        self.log.debug("Jobs of {} not taken over: {}.", customer, failure.value)
-        self.later(jitter(self.context.random_state, _AGAIN_S), self._load_again, customer)
+        self.log.debug(
+            "Take-over of the jobs of {} failed and will be retried: {}.", customer, failure.value
+        )
+        self.later(jitter(self.context.random_state, _RETRY_DELAY_S), self._retry_load, customer)
 
-    def _load_again(self, customer):
+    def _retry_load(self, customer):
         self._loading.discard(customer)
-        if self._mine(customer):
+        if self._is_assigned(customer):
             self._review()
 
     @inlineCallbacks
     def _take_over(self, customer):
-        """Become the customer's coordinator: first the row, then the records.
+        """Become the customer's coordinator: claim the row, then read the records of tasks.
 
-        Records are read after the row is taken, so that none can be written by the former
-        coordinator between the reading and the fence.
+        The records are read after the row is claimed. From the claim on, the former coordinator
+        can write no record, so none can be missing from those that were read.
         """
         table = self.context.table
         key = coordinator_key(customer)
@@ -181,7 +209,7 @@
         )
         rows = yield table.scan_all(f"task/{customer}/")
         self._loading.discard(customer)
-        if not self._mine(customer):
+        if not self._is_assigned(customer):
             return
         limits = self.context.settings.limits
         scheduler = JobCoordinator(
@@ -196,7 +224,7 @@
             value = row.value
             record = (int(index), value["attempt"], value["state"], value["worker"])
             coordinator.records.setdefault(job, []).append(record)
-        self.log.info("Jobs of {} taken over.", customer)
+        self.log.info("Jobs of {} are now coordinated by this instance.", customer)
         self._add_jobs(customer)
 
     def _catalog_changed(self, _, event):
@@ -222,9 +250,9 @@
             self._add_job(coordinator, job)
 
     def _add_job(self, coordinator, job):
-        # The configuration may lag behind the records: a job that this instance hears of only now
-        # may have been run by a former coordinator. Its records, read at the take-over, are kept
-        # for it.
+        # The configuration of this instance may be older than the records. A job that it shows only
+        # now may have been run by a former coordinator, so the job gets the records that were read
+        # at the take-over.
         catalog = self.context.catalog
         try:
             workload = catalog.workload(job.workload)
@@ -258,7 +286,7 @@
                 self.context.send(source, HoldRelease(hold_id=body.hold_id))
             return
         if coordinator.owners.get(body.hold_id) != source:
-            # An answer to an ask that was given up meanwhile and made to another owner.
+            # The request that this answers was abandoned, and the hold requested of another owner.
             if body.verdict == "granted":
                 self.context.send(source, HoldRelease(hold_id=body.hold_id))
             return
@@ -285,7 +313,7 @@
         self._act(coordinator, out)
 
     def _peer_down(self, _, event):
-        """Places asked of an owner that is gone are asked elsewhere."""
+        """Request the holds of a disconnected owner from other owners."""
         for coordinator in self._coordinators.values():
             lost = [key for key, owner in coordinator.owners.items() if owner == event.instance]
             for hold_id in lost:
@@ -296,7 +324,7 @@
                 )
 
     def _query(self):
-        """Ask the owners of the workers what became of tasks that should run there."""
+        """Query the owners for the tasks that should run; repeat the unconfirmed stops."""
         context = self.context
         for coordinator in self._coordinators.values():
             by_worker = {}
@@ -314,7 +342,7 @@
         if owner is not None:
             self.context.send(owner, TaskStop(hold_id=hold_id, worker=worker))
 
-    # Acting on decisions
+    # Carrying out decisions
 
     def _tick(self):
         for coordinator in list(self._coordinators.values()):
@@ -364,14 +392,14 @@
             )
             return
         coordinator.owners[hold.hold_id] = owner
-        ask = HoldAsk(
+        request = HoldAsk(
             hold_id=hold.hold_id,
             customer=hold.customer,
             workload=message.workload,
             age=hold.age,
             gang=hold.gang,
         )
-        if not self.context.send(owner, ask):
+        if not self.context.send(owner, request):
             coordinator.owners.pop(hold.hold_id, None)
             self._act(
                 coordinator,
@@ -379,19 +407,23 @@
             )
 
     def _choose_owner(self, hold):
-        """Choose between two owners by their last digests (Mitzenmacher's power of two choices)."""
+        """Return the owner with more free places of two random ones, by their last digests.
+
+        This is Mitzenmacher's "power of two choices". Return None when no owner has a worker that
+        is large enough.
+        """
         digests = self.context.digests
-        able = [
+        candidates = [
             name
             for name in self.context.live
             if name in digests and any(_fits(hold.needs, shape) for shape in digests[name].shapes)
         ]
-        if not able:
+        if not candidates:
             return None
-        some = self.context.random_state.sample(able, min(2, len(able)))
-        best = max(some, key=lambda name: _task_room(digests[name]))
-        # Until the next digest the place counts as taken, or all tasks of a burst would be sent to
-        # the one owner that looked emptiest.
+        sampled = self.context.random_state.sample(candidates, min(2, len(candidates)))
+        best = max(sampled, key=lambda name: _free_task_places(digests[name]))
+        # The place counts as taken until the next digest. Otherwise all tasks of a burst would go
+        # to the owner that had the most free places in the last digests.
         digests[best].free_task_slots -= hold.needs.slots
         return best
 
@@ -411,10 +443,10 @@
         self._commit(coordinator, customer, writes, done)
 
     def _record_end(self, coordinator, message):
-        """Write a task's end; a large result goes to the object store first.
+        """Record the end of a task; a large result goes to the object store first.
 
-        The row is written only when the object is there. Until then the worker keeps the result,
-        and the object is put again, under the same key, until the store takes it.
+        The row is written only after the object is stored. Until then the worker keeps the result,
+        and the upload is retried under the same key until it succeeds.
         """
         if len(message.result) <= INLINE_RESULT_BYTES:
             self._write_end(coordinator, message, {"result": message.result})
@@ -430,7 +462,7 @@
     def _put_failed(self, failure, coordinator, message):
         failure.trap(PlatformError)
         if self._coordinators.get(message.customer) is coordinator:
-            delay = jitter(self.context.random_state, _AGAIN_S)
+            delay = jitter(self.context.random_state, _RETRY_DELAY_S)
             self.later(delay, self._record_end, coordinator, message)
 
     def _write_end(self, coordinator, message, result):
@@ -456,16 +488,23 @@
         self.post(CommitAsk(conditions=[condition], writes=writes, done=done))
 
     def _check_written(self, customer, coordinator, error):
-        """Give the customer up when another coordinator has taken it over."""
+        """Return whether a commit succeeded and this instance still coordinates the customer.
+
+        When the commit failed because another instance has claimed the coordinator's row, stop
+        coordinating the customer.
+        """
         if self._coordinators.get(customer) is not coordinator:
             return False
         if error is None:
             return True
         if not isinstance(error, PreconditionError):
             return False
-        self.log.warning("Jobs of {} were taken over by another instance.", customer)
+        self.log.warning(
+            "Jobs of {} were taken over by another instance; a record was refused.",
+            customer,
+        )
         del self._coordinators[customer]
-        self.later(jitter(self.context.random_state, _AGAIN_S), self._load_again, customer)
+        self.later(jitter(self.context.random_state, _RETRY_DELAY_S), self._retry_load, customer)
         return False
 
     def _start_task(self, coordinator, message):
@@ -478,7 +517,7 @@
             hold_id=message.hold_id, workload=message.workload, payload=message.payload
         )
         if owner is not None:
-            # Where the message is lost the owner's answer to the next query says so.
+            # When this message is lost, the answer to the next query reports the attempt as lost.
             self.context.send(owner, start)
 
     def _acknowledge(self, coordinator, hold_id):
@@ -517,7 +556,7 @@
         if not failure.check(PlatformError):
             coordinator.scheduler.phase_recorded(message.job, JobPhase.CANCELLED)
             return
-        delay = jitter(self.context.random_state, _AGAIN_S)
+        delay = jitter(self.context.random_state, _RETRY_DELAY_S)
         self.later(delay, self._write_phase, coordinator, message)
 
     # Status
@@ -540,5 +579,5 @@
     )
 
 
-def _task_room(digest):
+def _free_task_places(digest):
     return digest.free_task_slots - digest.n_holds_queued
--- a/anvilflow/parts/_owner.py
+++ b/anvilflow/parts/_owner.py
@@ -1,4 +1,10 @@
-"""Owner of workers: places work on them, renews leases and reads reports."""
+"""Owner of workers: places work on them, renews leases and reads their reports.
+
+The owner of a worker is the one instance that may send it work. A worker runs requests, which
+callers wait for, and tasks of jobs. For a task, the coordinator of the customer first asks for a
+hold: a place that the owner reserves on a worker for one attempt of the task. The hold becomes a
+running task when the coordinator starts it.
+"""
 
 from collections import deque
 
@@ -40,40 +46,71 @@
 from ..utils import jitter
 from ._events import CatalogChanged, DigestReady, LeavingChanged, LiveChanged
 
-#: Wait before a worker is claimed again after a failure. Unit: seconds.
-_CLAIM_AGAIN_S = 0.5
+#: Delay before a worker is claimed again after a failure. Unit: seconds.
+_CLAIM_RETRY_DELAY_S = 0.5
 
-#: Period of the sweep for what has waited too long. Unit: seconds.
+#: Period of the check for requests and holds that have waited too long, with and without any
+#: waiting. Unit: seconds.
 _SWEEP_S = 0.05
 _IDLE_SWEEP_S = 0.5
 
-#: Failed syncs in a row after which a worker gets no new work.
-_SILENT_SYNCS = 2
+#: Number of consecutive failed syncs after which a worker gets no new work.
+_FAILED_SYNCS_TO_CLOSE = 2
 
-#: Renewals of a task within its lease: two may be lost. Renewing with each report, twice a second,
-#: was most of the bytes of a worker with many tasks.
+#: Renewals of a task within its lease, so that two may be lost. Renewals with each report, twice a
+#: second, were most of the bytes sent to a worker with many tasks.
 _RENEWALS_PER_LEASE = 3
 
+#: Initial age of the last renewal, so that the first sync renews the leases. Unit: seconds.
 _LONG_AGO_S = 1e9
 
-#: Shapes of workers that a digest names at the most.
+#: Largest number of worker shapes (capacities) in a digest.
 _MAX_SHAPES = 8
 
-#: Time a request may take beyond its deadline before its connection is given up. Unit: seconds.
+#: Time after a request's deadline at which its connection to the worker is closed. Unit: seconds.
 _REQUEST_GRACE_S = 0.05
 
 
 class _Owned:
-    """One worker under this owner, in one epoch."""
+    """State of one worker that this instance owns, for one epoch.
+
+    Parameters
+    ----------
+    member : MemberInfo
+        Entry of the worker on the membership list.
+    client : WorkerClient
+        Sends calls to the worker under this owner's epoch.
+
+    Attributes
+    ----------
+    clock : LeaseClock
+    allocation : WorkerAllocation
+    ticker : Ticker
+        Timer of the syncs: calls that renew leases and return a report.
+    n_failed : int
+        Consecutive failed syncs.
+    renewed_at : float
+        Time of the last renewal of leases. Unit: seconds.
+    starting : set of str
+        Holds whose start is not answered yet.
+    to_stop : set of str
+        Holds whose attempt the worker must stop, or never start.
+    ended : dict
+        Ended tasks that the coordinator has not acknowledged yet, by hold ID.
+    to_forget : set of str
+        Acknowledged holds whose results the worker may delete.
+    untracked : set of str
+        Requests of a former owner that still run on the worker.
+    overdue : dict
+        Requests without an answer, and the time on the worker's clock up to which it may begin
+        each, by request ID.
+    """
 
     __slots__ = (
         "allocation",
-        "bars",
         "client",
         "clock",
         "ended",
-        "foreign",
-        "forget",
         "member",
         "missing",
         "n_failed",
@@ -81,6 +118,9 @@
         "renewed_at",
         "starting",
         "ticker",
+        "to_forget",
+        "to_stop",
+        "untracked",
     )
 
     def __init__(self, *, member, client):
@@ -92,20 +132,20 @@
         self.n_failed = 0
         self.renewed_at = -_LONG_AGO_S
         self.starting = set()
-        self.bars = set()
+        self.to_stop = set()
         self.missing = set()
         self.ended = {}
-        self.forget = set()
-        self.foreign = set()
+        self.to_forget = set()
+        self.untracked = set()
         self.overdue = {}
 
 
 class OwnerPart(Part):
-    """Claims the workers that fall to this instance and places work on them.
+    """Claims the workers that are assigned to this instance and places work on them.
 
-    Safety does not rest on the view of who is live: a claim makes the worker refuse every call
-    under an earlier epoch, so a former owner that was paused in the middle of a send, or holds
-    another view, places nothing.
+    Safety does not depend on the instances agreeing on which of them are live. After a claim the
+    worker refuses every call with an earlier epoch. A former owner that was paused while sending,
+    or that has another list of live instances, can therefore place nothing.
     """
 
     prefix = "owner"
@@ -124,16 +164,16 @@
 
     @property
     def n_in_progress(self):
-        """Requests that wait or run here."""
+        """Number of requests that wait at this owner or run on its workers."""
         return len(self._origins)
 
     @property
     def scheduler(self):
-        """Queues and accounts."""
+        """The :class:`OwnerScheduler` with the queues and the allocations of workers."""
         return self._scheduler
 
     def start(self):
-        """Take messages and claim workers."""
+        """Subscribe to messages and claim the workers that are assigned to this instance."""
         self.on(LiveChanged, lambda *_: self._review())
         self.on(LeavingChanged, lambda *_: self._review())
         self.on(CatalogChanged, self._catalog_changed)
@@ -147,19 +187,19 @@
         self.on(TaskAcknowledge, self._task_acknowledge)
         timing = self.context.settings.timing
         self.every(self._sweep_period, self._sweep, delay=_SWEEP_S)
-        self.every(timing.heartbeat_s, self._tell_digest, delay=timing.heartbeat_s / 2)
+        self.every(timing.heartbeat_s, self._publish_digest, delay=timing.heartbeat_s / 2)
         self._catalog_changed(None, None)
         self._review()
 
     def stop(self):
-        """Give up all workers."""
+        """Stop owning all workers."""
         self._stopped = True
         for name in list(self._owned):
             self._drop(name)
         super().stop()
 
     def dump(self):
-        """Return queues and workers."""
+        """Return the lengths of the queues and the state of each owned worker."""
         scheduler = self._scheduler
         return {
             "queued": scheduler.n_queued,
@@ -179,19 +219,19 @@
     # Ownership
 
     def _review(self):
-        """Claim what falls to this instance, give up what does not."""
+        """Claim the workers assigned to this instance, and drop those that are not any more."""
         context = self.context
         for name, member in context.workers.items():
-            mine = choose_owner(context.live, name) == context.name
-            if mine and name not in self._owned and name not in self._claiming:
+            is_assigned = choose_owner(context.live, name) == context.name
+            if is_assigned and name not in self._owned and name not in self._claiming:
                 self._claim(member).addErrback(self.fail_with)
-            elif not mine and name in self._owned:
+            elif not is_assigned and name in self._owned:
                 self._drop(name)
         for name in [name for name in self._owned if name not in context.workers]:
             self._drop(name)
         self._close_leaving()
 
-    def _still_mine(self, name):
+    def _is_still_assigned(self, name):
         context = self.context
         return (
             not self._stopped
@@ -208,22 +248,22 @@
         try:
             report = yield client.claim(self.context.name)
         except (WorkerRefusedError, WorkerUnreachableError) as exc:
-            self.log.debug("Worker {} not claimed: {}.", name, exc)
-            delay = jitter(self.context.random_state, _CLAIM_AGAIN_S)
-            self.later(delay, self._claim_again, name)
+            self.log.debug("Claim of worker {} failed and will be retried: {}.", name, exc)
+            delay = jitter(self.context.random_state, _CLAIM_RETRY_DELAY_S)
+            self.later(delay, self._retry_claim, name)
             return
         self._claiming.discard(name)
-        if not self._still_mine(name):
+        if not self._is_still_assigned(name):
             return
         self._take_over(member, client, report, sent)
 
-    def _claim_again(self, name):
+    def _retry_claim(self, name):
         self._claiming.discard(name)
-        if self._still_mine(name):
+        if self._is_still_assigned(name):
             self._review()
 
     def _take_over(self, member, client, report, sent):
-        """Start from what the worker itself says that runs there."""
+        """Own a claimed worker, with the tasks and requests that its report lists as running."""
         owned = _Owned(member=member, client=client)
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
         owned.allocation = WorkerAllocation(
@@ -232,7 +272,7 @@
             rack=member.rack,
             failure_domain=member.failure_domain,
         )
-        owned.foreign = {request_id for request_id, _ in report.requests}
+        owned.untracked = {request_id for request_id, _ in report.requests}
         self._owned[member.name] = owned
         out = self._scheduler.add_worker(
             owned.allocation,
@@ -243,7 +283,7 @@
         )
         owned.ticker = self.every(lambda: self._sync_period(owned), lambda: self._sync(owned))
         self._act(out)
-        self.log.info("Worker {} owned, {} tasks run there.", member.name, len(report.tasks))
+        self.log.info("Worker {} claimed with {} running tasks.", member.name, len(report.tasks))
 
     def _drop(self, name):
         owned = self._owned.pop(name, None)
@@ -251,10 +291,10 @@
             return
         owned.ticker.stop()
         self._act(self._scheduler.remove_worker(name))
-        self.log.info("Worker {} given up.", name)
+        self.log.info("Worker {} is no longer owned by this instance.", name)
 
     def _close_leaving(self):
-        """Give no new work to workers that leave: their room is taken out of the book."""
+        """Close the workers that are leaving, so that they get no new work."""
         for name in self._owned:
             if self._is_leaving(name):
                 self._act(self._scheduler.close_worker(name))
@@ -266,12 +306,16 @@
     # Reports and leases
 
     def _sync_period(self, owned):
-        """Return the time to the next sync: a worker without anything to follow is asked less.
+        """Return the time to the next sync. Unit: seconds.
 
-        Syncs of idle workers were the largest part of an idle instance's processor time.
+        A reachable worker with no tasks, pending stops, unacknowledged results, requests of a
+        former owner or unanswered requests is synced less often. Syncs of idle workers were the
+        largest part of the processor time of an idle instance.
         """
         timing = self.context.settings.timing
-        followed = owned.bars or owned.overdue or owned.foreign or owned.forget or owned.ended
+        followed = (
+            owned.to_stop or owned.overdue or owned.untracked or owned.to_forget or owned.ended
+        )
         if followed or owned.n_failed or self._scheduler.tasks_on(owned.member.name):
             return timing.worker_sync_s
         return timing.idle_sync_s
@@ -287,14 +331,14 @@
         renews = sent - owned.renewed_at >= settings.lease.task_s / _RENEWALS_PER_LEASE
         started = self._scheduler.tasks_on(name)
         settled = {hold_id for hold_id in started if hold_id not in owned.starting}
-        bars = set(owned.bars)
-        forget = set(owned.forget)
-        foreign = set(owned.foreign)
+        to_stop = set(owned.to_stop)
+        to_forget = set(owned.to_forget)
+        untracked = set(owned.untracked)
         try:
             report = yield owned.client.sync(
-                renew=[(key, until) for key in started if key not in bars] if renews else [],
-                stop=sorted(bars),
-                forget=sorted(forget),
+                renew=[(key, until) for key in started if key not in to_stop] if renews else [],
+                stop=sorted(to_stop),
+                forget=sorted(to_forget),
             )
         except WorkerUnreachableError as exc:
             self._sync_failed(owned, exc)
@@ -305,61 +349,66 @@
         if self._owned.get(name) is not owned:
             return
         owned.clock = LeaseClock(worker_time=report.clock, sent=sent, received=self.now)
-        if owned.n_failed >= _SILENT_SYNCS and not self._is_leaving(name):
+        if owned.n_failed >= _FAILED_SYNCS_TO_CLOSE and not self._is_leaving(name):
             self._act(self._scheduler.reopen_worker(name, self.now))
         if renews:
             owned.renewed_at = sent
         owned.n_failed = 0
-        owned.forget -= forget
-        arrived = {key for key, until in owned.overdue.items() if until < report.clock}
-        self._take_report(owned, report, settled, bars, arrived | foreign)
+        owned.to_forget -= to_forget
+        expired = {key for key, until in owned.overdue.items() if until < report.clock}
+        self._take_report(owned, report, settled, to_stop, expired | untracked)
 
     def _sync_failed(self, owned, exc):
         owned.n_failed += 1
-        if owned.n_failed == _SILENT_SYNCS:
-            self.log.warning("Worker {} is silent: {}.", owned.member.name, exc)
+        if owned.n_failed == _FAILED_SYNCS_TO_CLOSE:
+            self.log.warning(
+                "Worker {} is unreachable and gets no new work: {}.", owned.member.name, exc
+            )
             self._act(self._scheduler.close_worker(owned.member.name))
 
     def _sync_refused(self, owned, exc):
-        """The worker has another owner, came back without memory, or is not there any more."""
+        """Drop a worker that refused a sync, and claim it again after a delay.
+
+        The worker has another owner, has restarted without its state, or no longer exists.
+        """
         name = owned.member.name
         if self._owned.get(name) is not owned:
             return
-        self.log.info("Worker {} refused its owner: {}.", name, exc)
+        self.log.info("Worker {} refused a sync: {}.", name, exc)
         self._drop(name)
         self._claiming.add(name)
-        delay = jitter(self.context.random_state, _CLAIM_AGAIN_S)
-        self.later(delay, self._claim_again, name)
+        delay = jitter(self.context.random_state, _CLAIM_RETRY_DELAY_S)
+        self.later(delay, self._retry_claim, name)
 
-    def _take_report(self, owned, report, settled, bars, gone_candidates):
+    def _take_report(self, owned, report, settled, to_stop, release_candidates):
         now = self.now
         name = owned.member.name
         running = set(report.tasks)
         ended = {task.hold_id: task for task in report.finished}
         for hold_id, task in ended.items():
-            if hold_id in owned.forget:
+            if hold_id in owned.to_forget:
                 continue
             owned.missing.discard(hold_id)
             owned.ended[hold_id] = task
             self._act(self._scheduler.task_ended(hold_id, now))
             self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
         for hold_id in settled - running - set(ended):
-            if hold_id in bars:
-                # The worker has confirmed that it does not run and that it never will.
-                self._lost(owned, hold_id)
+            if hold_id in to_stop:
+                # The worker has confirmed that the attempt does not run and will never be started.
+                self._end_lost_task(owned, hold_id)
             else:
-                owned.bars.add(hold_id)
-        for hold_id in bars - settled:
+                owned.to_stop.add(hold_id)
+        for hold_id in to_stop - settled:
             if hold_id not in running:
-                owned.bars.discard(hold_id)
+                owned.to_stop.discard(hold_id)
                 self._notify_coordinator(hold_id, "lost")
-        for request_id in gone_candidates - set(report.requests):
-            owned.foreign.discard(request_id)
+        for request_id in release_candidates - set(report.requests):
+            owned.untracked.discard(request_id)
             owned.overdue.pop(request_id, None)
             self._act(self._scheduler.release_foreign(name, request_id, now))
 
-    def _lost(self, owned, hold_id):
-        owned.bars.discard(hold_id)
+    def _end_lost_task(self, owned, hold_id):
+        owned.to_stop.discard(hold_id)
         self._act(self._scheduler.task_ended(hold_id, self.now))
         self._notify_coordinator(hold_id, "lost")
 
@@ -423,8 +472,9 @@
         except WorkerRefusedError as exc:
             end = (Outcome.NOT_RUN, b"", exc.code, exc.message)
         except WorkerUnreachableError as exc:
-            # It may run on, or be on its way still. Its place stays taken until a report that was
-            # made after the worker would refuse it as late no longer names it.
+            # The request may still run, or may not have reached the worker yet. Its place stays
+            # taken until a report no longer lists it. The report must be made after `until`, when
+            # the worker would refuse the request as late.
             owned.overdue[request.request_id] = until
             owned.ticker.call_within(self.context.settings.timing.worker_sync_s)
             end = (Outcome.UNKNOWN, b"", exc.code, exc.message)
@@ -530,8 +580,9 @@
             self._act(self._scheduler.task_ended(hold_id, self.now))
             self._notify_coordinator(hold_id, "lost")
         except WorkerUnreachableError as exc:
-            # It may have started. The next reports tell; until then its place stays taken.
-            self.log.info("Start of {} unanswered: {}.", hold_id, exc)
+            # The task may have started. Its place stays taken until the next reports show whether
+            # it has.
+            self.log.info("Worker did not answer the start of {}: {}.", hold_id, exc)
         finally:
             owned.starting.discard(hold_id)
 
@@ -543,15 +594,16 @@
         self._act(self._scheduler.release_hold(body.hold_id, self.now))
         if body.hold_id in owned.ended:
             return
-        owned.bars.add(body.hold_id)
+        owned.to_stop.add(body.hold_id)
         owned.ticker.trigger()
 
     def _task_query(self, source, body):
-        """Say what became of attempts; only the worker's present owner can.
+        """Report the outcome of attempts to the coordinator, if this instance owns the worker.
 
-        An attempt that is not known here is not said to be lost before the worker has confirmed
-        it: an owner that was paused may answer from a book that is no longer true, while the
-        attempt runs under the next owner. The worker refuses the call of the former owner.
+        An attempt that this owner does not have is reported as lost only after the worker has
+        confirmed that it does not run. An owner that was paused may have outdated state while the
+        attempt runs under the next owner. Such a former owner gets no confirmation, because the
+        worker refuses its call.
         """
         owned = self._owned.get(body.worker)
         if owned is None:
@@ -563,14 +615,14 @@
                 self._notify_coordinator(hold_id, "ended", ok=task.ok, result=task.result)
             elif self._scheduler.worker_of(hold_id) is None:
                 self._act(self._scheduler.release_hold(hold_id, self.now))
-                owned.bars.add(hold_id)
+                owned.to_stop.add(hold_id)
                 owned.ticker.trigger()
 
     def _task_acknowledge(self, _, body):
         self._hold_coordinators.pop(body.hold_id, None)
         for owned in self._owned.values():
             if owned.ended.pop(body.hold_id, None) is not None:
-                owned.forget.add(body.hold_id)
+                owned.to_forget.add(body.hold_id)
 
     def _notify_coordinator(self, hold_id, verdict, *, ok=False, result=""):
         coordinator = self._hold_coordinators.get(hold_id)
@@ -586,14 +638,14 @@
                 HoldAnswer(hold_id=hold_id, verdict=verdict, worker=worker, reason=str(reason)),
             )
 
-    # Acting on decisions
+    # Carrying out decisions
 
     def _act(self, messages):
         """Carry out decisions in the order in which they were made.
 
-        Carrying one out may lead straight to the next decision, where a message goes to a part of
-        the same process. That one is queued behind those that were made before it: carried out at
-        once it would, for example, answer a request whose dispatch is still to come.
+        Carrying out a decision may cause further decisions at once, when it sends a message to a
+        part of the same process. These are queued behind the earlier decisions. Carried out
+        immediately, they could for example answer a request that has not been dispatched yet.
         """
         self._actions.extend(messages)
         if self._acting:
@@ -645,7 +697,7 @@
         if reserves:
             self._act(self._scheduler.set_reserve(max(reserves), self.now))
 
-    def _tell_digest(self):
+    def _publish_digest(self):
         scheduler = self._scheduler
         allocations = scheduler.allocations.open_allocations()
         shapes = {allocation.capacity for allocation in allocations}
