--- a/anvilflow/parts/tests/_helpers.py
+++ b/anvilflow/parts/tests/_helpers.py
@@ -1,4 +1,4 @@
-"""Sample cells and checks for tests of whole cells."""
+"""Simulated cells, sample jobs and checks for tests of whole cells."""
 
 from anvilflow.history import check_history
 from anvilflow.resources import Amounts, Job
@@ -9,7 +9,7 @@
 
 
 def make_cell(**values):
-    """Return a started cell of three instances and six workers."""
+    """Return a started cell, by default with three instances and six workers."""
     values = {"n_instances": 3, "n_workers": 6, "declarations": make_declarations(), **values}
     cell = VirtualCell(capacity=CAPACITY, **values)
     cell.start()
@@ -17,7 +17,7 @@
 
 
 def make_job(name, workload, n_tasks, *, seconds=0.5, customer="large"):
-    """Return a job of timed tasks."""
+    """Return a job of `n_tasks` tasks that take `seconds` each."""
     tasks = [
         encode({"token": f"{name}-{index}", "seconds": seconds}).decode()
         for index in range(n_tasks)
@@ -25,8 +25,8 @@
     return Job(name=name, customer=customer, workload=workload, tasks=tasks)
 
 
-def assert_promises(cell):
-    """Check every promise over the cell's history, and that no part failed."""
+def assert_invariants(cell):
+    """Check every invariant over the cell's history, and that no part failed or was restarted."""
     assert cell.errors == []
     for daemon in cell.daemons.values():
         assert set(daemon.supervisor.restarts().values()) == {0}
@@ -35,11 +35,11 @@
 
 
 def phase_of(cell, job):
-    """Return phase and counts of a job."""
+    """Return the phase of a job and its counts of done and failed tasks; None for no such job."""
     stored = cell.job(job.customer, job.name)
     return stored and (stored.phase.value, stored.n_done, stored.n_failed)
 
 
 def outcomes(answers):
-    """Return the outcomes in lists of answers; None stands for no answer yet."""
+    """Return the outcome of the first answer in each list, None where there is no answer yet."""
     return [str(answer[0].outcome) if answer else None for answer in answers]
--- a/anvilflow/parts/tests/test_failures.py
+++ b/anvilflow/parts/tests/test_failures.py
@@ -5,7 +5,7 @@
 from anvilflow.history import RunBegan, RunEnded, check_history
 from anvilflow.utils import encode
 
-from ._helpers import assert_promises, make_cell, make_job, outcomes, phase_of
+from ._helpers import assert_invariants, make_cell, make_job, outcomes, phase_of
 
 
 def new_work_after(cell, at, workers):
@@ -19,12 +19,12 @@
 
 
 @pytest.mark.parametrize("table_down", [False, True])
-def test_owner_dies_and_its_workers_take_new_work(table_down):
-    """A caller's requests go on while the instance that owns some workers is killed.
+def test_workers_of_a_crashed_owner_take_new_work(table_down):
+    """A caller keeps sending requests while the instance that owns some workers crashes.
 
-    The others miss its heartbeats, work out the new owners alone and claim the workers, which
-    from then on refuse the dead owner's epoch. No table access is needed, so an outage of the
-    table at the same moment changes nothing.
+    The other instances miss its heartbeats. Each computes the new owners on its own, and they claim
+    the workers, which then refuse the former owner's epoch. This needs no access to the table, so
+    an outage of the table at the same time changes nothing.
     """
     cell = make_cell()
     cell.table_faults.down = table_down
@@ -39,15 +39,15 @@
     cell.advance(2.0)
     assert new_work_after(cell, at, lost) - at < 5.0
     assert set(outcomes(answers)) == {"completed"}
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_home_and_owner_die_with_jobs_running():
-    """An operator sees a job complete although the instance that runs it is killed twice.
+def test_job_completes_after_two_crashes_of_its_coordinator():
+    """A job completes although the instance that coordinates it crashes twice.
 
-    The next coordinator takes the row of the customer, reads which tasks were placed where, and
-    asks the workers' owners what became of them. Finished ones are not repeated, running ones go
-    on.
+    The next coordinator claims the customer's row, reads from the records where tasks were placed,
+    and queries the owners of those workers. Ended tasks are not repeated, and running tasks
+    continue.
     """
     cell = make_cell(n_instances=5)
     job = make_job("j1", "refresh", 60, seconds=1.0)
@@ -66,14 +66,14 @@
     ends = [e.item for e in cell.history.events if isinstance(e, RunEnded) and e.how == "ok"]
     tasks = [item.rsplit("/", 1)[0] for item in ends]
     assert len(tasks) == len(set(tasks)) == 60
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_paused_owner_wakes_after_every_lease():
-    """An owner stops for longer than every lease with requests and tasks in its hands.
+def test_paused_owner_resumes_after_every_lease_expired():
+    """An owner with requests and tasks is paused for longer than every lease.
 
-    The others take its workers over. When it wakes it goes on where it was and sends starts and
-    renewals under its old epoch; the workers refuse them, so nothing runs twice.
+    The other instances take over its workers. When the owner resumes, it sends starts and renewals
+    under its old epoch. The workers refuse these, so no task runs twice.
     """
     cell = make_cell()
     job = make_job("j1", "refresh", 60, seconds=1.0)
@@ -86,14 +86,15 @@
     cell.resume_instance(paused)
     cell.advance(15.0)
     assert phase_of(cell, job) == ("completed", 60, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_paused_home_records_nothing_after_it_lost_its_row():
-    """A coordinator stops with holds granted and intents unwritten, another takes over its jobs.
+def test_paused_coordinator_records_nothing_after_it_lost_its_row():
+    """A coordinator is paused with holds granted and intents not yet recorded.
 
-    On waking it writes the intents it had in hand. The condition on the coordinator's row refuses
-    them, and what is not recorded is not started: no task runs twice, none is lost.
+    Another coordinator takes over its jobs. When the first one resumes, it writes its old intents.
+    The condition on the coordinator's row refuses them, and an attempt whose intent is not recorded
+    is not started. No task runs twice, and none is lost.
     """
     cell = make_cell(n_instances=4)
     job = make_job("j1", "refresh", 80, seconds=0.7)
@@ -110,14 +111,14 @@
     cell.advance(20.0)
     assert cell.errors == []
     assert phase_of(cell, job) == ("completed", 80, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_requests_and_running_tasks_go_on_without_the_table():
-    """The table is down for ten minutes while callers ask and tasks run and end.
+    """The table is unavailable for ten minutes while requests arrive and tasks run and end.
 
-    Requests need no table access. Tasks keep their leases, since owners renew them on their own;
-    their results wait at the workers and are written once, when the table answers again.
+    Requests need no access to the table. Owners renew the leases of tasks without the table. The
+    workers keep the results, and these are written once, when the table is available again.
     """
     cell = make_cell()
     job = make_job("j1", "refresh", 20, seconds=30.0)
@@ -132,14 +133,14 @@
     cell.table_faults.down = False
     cell.advance(10.0)
     assert phase_of(cell, job) == ("completed", 20, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_large_results_wait_for_the_object_store():
-    """Tasks end with large results while the object store is down.
+def test_large_results_are_kept_until_the_object_store_is_available():
+    """Tasks end with large results while the object store is unavailable.
 
-    No row says that they are done before their results are safe; the workers keep them. When the
-    store answers again, each result is there once, and the job completes.
+    No task is recorded as done before its result is stored; until then the workers keep the
+    results. When the store is available again, each result is stored once, and the job completes.
     """
     cell = make_cell()
     job = make_job("j1", "refresh", 4, seconds=0.2)
@@ -152,11 +153,11 @@
     cell.advance(5.0)
     assert phase_of(cell, job) == ("completed", 4, 0)
     assert sorted(map(len, cell.objects.objects.values())) == [9000] * 4
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_job_is_refused_at_once_without_the_table():
-    """A job that cannot be made durable is answered with a coded error, not kept in memory."""
+    """A job that cannot be made durable is refused with an error code, not kept in memory."""
     cell = make_cell()
     cell.table_faults.down = True
     answers = cell.submit("a1", make_job("j1", "refresh", 5))
@@ -165,10 +166,10 @@
 
 
 def test_write_whose_answer_is_lost_is_not_made_twice():
-    """The table takes a job and its answer is lost, again and again.
+    """The table stores a job, but every answer to the write is lost.
 
-    The instance reads back what it wrote and answers the caller; the caller's own repeat at
-    another instance changes nothing either.
+    The instance reads the row back and answers the caller. When the caller submits the job again at
+    another instance, nothing changes.
     """
     cell = make_cell()
     cell.table_faults.lose_answer = True
@@ -181,11 +182,11 @@
     assert first[0].revision == again[0].revision
     assert again[0].changed is False
     assert phase_of(cell, job) == ("completed", 5, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_worker_crash_repeats_its_tasks_elsewhere():
-    """A worker loses its memory with tasks running; they run again, on the next attempt."""
+    """A worker crashes with tasks running and loses its state; the tasks run again elsewhere."""
     cell = make_cell()
     job = make_job("j1", "refresh", 30, seconds=2.0)
     cell.submit("a1", job)
@@ -194,48 +195,49 @@
     cell.workers[crashed].crash()
     cell.advance(20.0)
     assert phase_of(cell, job) == ("completed", 30, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_silent_worker_keeps_its_tasks_until_their_leases_are_over():
-    """A worker neither answers nor is heard of, with tasks running, and then is back.
+def test_unreachable_worker_keeps_its_tasks_until_their_leases_lapse():
+    """A worker with running tasks is unreachable for a while, and then reachable again.
 
-    Its owner cannot know whether the tasks run on. It starts them nowhere else while the worker
-    is silent; back again, the worker says that the leases lapsed, and only then they run anew.
+    Its owner cannot know whether the tasks still run, so they are started nowhere else while the
+    worker is unreachable. Only when the worker reports that the leases lapsed do the tasks run
+    again.
     """
     cell = make_cell()
     job = make_job("j1", "refresh", 30, seconds=60.0)
     cell.submit("a1", job)
     cell.advance(1.0)
-    silent = next(name for name, state in cell.workers.items() if state.tasks)
-    cell.workers[silent].faults.down = True
+    unreachable = next(name for name, state in cell.workers.items() if state.tasks)
+    cell.workers[unreachable].faults.down = True
     cell.advance(40.0)
     lapsed = [e for e in cell.history.events if isinstance(e, RunEnded) and e.how == "lapsed"]
     assert lapsed
-    cell.workers[silent].faults.down = False
+    cell.workers[unreachable].faults.down = False
     cell.advance(150.0)
     assert phase_of(cell, job) == ("completed", 30, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_leaving_worker_gets_no_new_work():
-    """The platform marks a worker as leaving: what runs there ends, nothing new begins."""
+    """The platform marks a worker as leaving: its running work ends, and it gets no new work."""
     cell = make_cell()
     cell.worker_leaves("w03")
     for _ in range(60):
         cell.request("a1", "small", "lookup")
         cell.submit("a1", make_job(f"j{len(cell.history.events)}", "refresh", 3, seconds=0.1))
         cell.advance(0.1)
-    assert_promises(cell)
+    assert_invariants(cell)
     late = new_work_after(cell, cell.clock.seconds() - 3.0, ["w03"])
     assert late is None
 
 
-def test_silent_worker_that_leaves_is_not_opened_again():
-    """A worker falls silent, is marked as leaving, and is heard of again.
+def test_unreachable_worker_that_leaves_is_not_reopened():
+    """A worker becomes unreachable, is marked as leaving, and becomes reachable again.
 
-    Its owner had closed it for its silence. Hearing of it must not open it: it still leaves.
-    (Found by chaos seed 12.)
+    Its owner has closed it because it was unreachable. The first answer must not reopen it, because
+    the worker is still leaving. (Found by chaos seed 12.)
     """
     cell = make_cell(n_instances=1, n_workers=2)
     cell.workers["w01"].faults.down = True
@@ -248,13 +250,13 @@
             cell.request("a1", customer, "lookup", seconds=2.0)
         cell.advance(0.1)
     cell.advance(10.0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_not_run_is_said_only_when_no_attempt_may_have_run():
-    """An owner is cut off with a request in hand; the retry elsewhere is refused.
+def test_not_run_is_answered_only_when_no_attempt_may_have_run():
+    """An owner and its workers are lost with a request in flight; the retry elsewhere is refused.
 
-    The caller must hear "unknown": the last attempt did not run, but the first may have. (Found
+    The caller must receive "unknown": the last attempt did not run, but the first may have. (Found
     by chaos seed 6.)
     """
     cell = make_cell(n_instances=2, n_workers=4)
@@ -270,14 +272,15 @@
     cell.crash_instance("a2")
     cell.advance(10.0)
     assert outcomes(answers) == ["unknown"]
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_home_that_hears_late_of_a_job_uses_its_records():
-    """A coordinator takes jobs over before its configuration shows one of them, which already runs.
+def test_coordinator_with_late_configuration_uses_the_records_of_a_job():
+    """A coordinator takes over jobs before its configuration has one of them, which already runs.
 
-    When the configuration catches up, the job must not look new: the records that were read at
-    the take-over say where its tasks run. (Found by chaos seed 38, as tasks in two places.)
+    When the configuration is up to date, the job must not be treated as new: the records that were
+    read at the take-over show where its tasks run. (Found by chaos seed 38, as tasks in
+    two places.)
     """
     cell = make_cell()
     job = make_job("j1", "refresh", 12, seconds=6.0)
@@ -298,14 +301,14 @@
     for daemon in cell.daemons.values():
         daemon.supervisor.part("config")._listed = False
     cell.advance(20.0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_rolling_restart_fails_no_request():
     """All instances are drained and replaced one after the other under load.
 
-    The balancer hears of it by the health check before connections are refused; the drained one
-    hands its workers over and finishes what it has.
+    The health check shows the drain to the load balancer before connections are refused. The
+    draining instance hands over its workers and completes the requests that it has.
     """
     cell = make_cell()
     answers = []
@@ -322,14 +325,14 @@
         cell.start_instance(name)
         cell.advance(3.0)
     assert set(outcomes(answers)) == {"completed"}
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_silent_connection_is_replaced():
-    """One way between two instances goes silent for good, on connections that are open.
+def test_connection_with_a_one_way_partition_is_replaced():
+    """One direction between two instances stops carrying data on the open connections.
 
-    Both ends drop the connection once nothing is heard for the suspect time. New ones work, and
-    requests that went into the silence are answered, late but once.
+    Both ends close the connection once nothing was received for ``suspect_s`` seconds. New
+    connections work, and requests between the instances are answered.
     """
     cell = make_cell()
     cell.network.silence("a1", "a2")
@@ -339,14 +342,15 @@
     answers = [cell.request("a1", "small", "lookup") for _ in range(20)]
     cell.advance(1.0)
     assert set(outcomes(answers)) == {"completed"}
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_connections_are_dialled_anew_while_the_list_is_unreachable():
+def test_connections_are_dialled_again_while_the_list_is_unavailable():
     """Two instances lose their connection during an outage of the membership list.
 
-    They dial the address they last knew, so that load, hints and requests flow again. (Chaos seed
-    917: alone until the list was back, an instance gave work to a worker that leaves.)
+    They dial the last known address, so that load, hints and requests are exchanged again. (Chaos
+    seed 917: an instance was isolated until the list was available again, and gave work to a worker
+    that was leaving.)
     """
     cell = make_cell()
     cell.membership_faults.down = True
@@ -359,11 +363,11 @@
     answers = [cell.request("a1", "small", "lookup") for _ in range(20)]
     cell.advance(1.0)
     assert set(outcomes(answers)) == {"completed"}
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_idempotency_key_across_instances():
-    """A billed order is repeated at another instance with the same key: it runs once."""
+def test_idempotency_key_applies_across_instances():
+    """A billed order is sent again to another instance with the same key: it runs once."""
     cell = make_cell()
     values = {"idempotent": False, "idempotency_key": "order-7", "token": "order-7"}
     first = cell.request("a1", "small", "lookup", **values)
@@ -381,7 +385,7 @@
 
 
 def test_keyed_request_without_the_table_is_not_run():
-    """Without the table a key cannot be claimed: the answer is "not run", at once and true."""
+    """Without the table a key cannot be claimed: the answer is "not run", at once and correctly."""
     cell = make_cell()
     cell.table_faults.down = True
     values = {"idempotent": False, "idempotency_key": "k", "token": "k"}
@@ -395,8 +399,8 @@
     assert outcomes([again]) == ["completed"]
 
 
-def test_cancelled_job_starts_nothing_after_its_phase():
-    """A job is cancelled with tasks running, held and waiting: all end, none starts later."""
+def test_cancelled_job_starts_nothing_after_its_phase_is_written():
+    """A job is cancelled with tasks running, held and queued: all end, and none starts later."""
     cell = make_cell()
     job = make_job("j1", "refresh", 200, seconds=3.0)
     cell.submit("a1", job)
@@ -408,14 +412,14 @@
     cell.advance(10.0)
     assert new_work_after(cell, at, list(cell.workers)) is None
     assert not any(state.tasks for state in cell.workers.values())
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 def test_two_gangs_that_each_need_most_of_the_cell_both_finish():
-    """Two jobs of different customers each need more than half of the places, all at once.
+    """Two gang jobs of different customers each need more than half of the places at once.
 
-    Each gets some and waits for the rest. The older one takes the younger one's holds, so that
-    one after the other completes and neither waits for ever.
+    Each is granted some holds and waits for the others, which could be a deadlock. The older job
+    takes over the holds of the younger one, so that both complete one after the other.
     """
     cell = make_cell()
     jobs = [
@@ -426,14 +430,14 @@
         cell.submit("a1", job)
     cell.advance(20.0)
     assert [phase_of(cell, job) for job in jobs] == [("completed", 30, 0)] * 2
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_gang_is_not_kept_waiting_by_an_owner_whose_only_worker_leaves():
-    """A gang's place is asked of an owner whose only worker leaves.
+def test_gang_is_not_blocked_by_an_owner_whose_only_worker_leaves():
+    """A hold for a gang is requested of an owner whose only worker is leaving.
 
-    That owner must refuse, and the coordinator must ask elsewhere; the job completes. (Chaos seed
-    619.)
+    That owner must refuse, and the coordinator must ask another owner; the job completes. (Chaos
+    seed 619.)
     """
     cell = make_cell(n_instances=3, n_workers=6)
     owners = {name: cell.owner_of(name) for name in cell.workers}
@@ -446,15 +450,15 @@
     cell.submit("a1", job)
     cell.advance(15.0)
     assert phase_of(cell, job) == ("completed", 9, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
-def test_history_shows_every_promise_checked():
-    """The checks above must have had something to check."""
+def test_history_check_finds_events_for_the_invariants():
+    """The checks of invariants in the other tests must find events to check."""
     cell = make_cell()
     cell.request("a1", "small", "lookup", idempotent=False)
     cell.submit("a1", make_job("j1", "refresh", 5))
     cell.advance(3.0)
-    by_promise = {v.promise: v.n_checked for v in check_history(cell.history.events)}
-    assert by_promise["no task in two places"] == 5
-    assert by_promise["non-idempotent at most once"] == 1
+    n_checked_by_invariant = {v.promise: v.n_checked for v in check_history(cell.history.events)}
+    assert n_checked_by_invariant["no task in two places"] == 5
+    assert n_checked_by_invariant["non-idempotent at most once"] == 1
--- a/anvilflow/parts/tests/test_safeguards.py
+++ b/anvilflow/parts/tests/test_safeguards.py
@@ -1,4 +1,4 @@
-"""Each safeguard earns its place: the same failure with it, and with it taken out."""
+"""Each safeguard is necessary: the same failure with it, and with it removed."""
 
 import pytest
 
@@ -13,23 +13,24 @@
 from ._helpers import make_cell, make_job, phase_of
 
 
-def broken_promises(cell):
-    """Return the promises that the history shows broken."""
+def violated_invariants(cell):
+    """Return the names of the invariants that the history violates."""
     verdicts = check_history(cell.history.events, ended_at=cell.clock.seconds())
     return [verdict.promise for verdict in verdicts if not verdict.held]
 
 
 def expected(safeguard, promise):
-    """Return the promises that are broken without the safeguard."""
+    """Return the invariants that are violated: `promise` without the safeguard, else none."""
     return [] if safeguard else [promise]
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_epoch_refuses_a_former_owner_that_wakes(monkeypatch, safeguard):
-    """An owner is paused, its workers are taken over and filled; then it wakes.
+def test_epoch_refuses_a_former_owner_that_resumes(monkeypatch, safeguard):
+    """An owner is paused while its workers are taken over and filled, and is then resumed.
 
-    It still holds them for its own and empty, and sends them requests at once. Only because of
-    its old epoch do they refuse, and the requests are served elsewhere or refused.
+    Its state is outdated: it treats the workers as its own and as empty, and sends them requests at
+    once. The workers refuse these because of the old epoch, and the requests are served elsewhere
+    or refused.
     """
     if not safeguard:
         monkeypatch.setattr(WorkerState, "_check_epoch", lambda self, epoch: None)
@@ -46,16 +47,16 @@
         for _ in range(6):
             cell.request("a2", customer, "lookup", seconds=6.0)
     cell.advance(15.0)
-    assert broken_promises(cell) == expected(safeguard, "no worker over its capacity")
+    assert violated_invariants(cell) == expected(safeguard, "no worker over its capacity")
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_row_of_the_home_refuses_intents_of_a_former_home(monkeypatch, safeguard):
-    """A coordinator is paused with its intents on the way to a slow table.
+def test_row_of_the_coordinator_refuses_intents_of_a_former_coordinator(monkeypatch, safeguard):
+    """A coordinator is paused with its intents in flight to a slow table.
 
-    Another coordinator takes the jobs over, sees no intent, and places and starts the tasks. Then
-    the old intents arrive. Written over the new ones they would lead the next coordinator to the
-    wrong workers: it would find nothing there and start the tasks a second time.
+    Another coordinator takes over the jobs, reads no intents, and places and starts the tasks. Then
+    the old intents arrive. If they replaced the new ones, the next coordinator would query the
+    wrong workers, find no runs there and start the tasks a second time.
     """
     if not safeguard:
 
@@ -74,11 +75,11 @@
     cell.daemons.pop(first)
     cell.crash_instance(wait_for_coordinator(cell))
     cell.advance(30.0)
-    assert broken_promises(cell) == expected(safeguard, "no task in two places")
+    assert violated_invariants(cell) == expected(safeguard, "no task in two places")
 
 
 def wait_for_coordinator(cell):
-    """Let time pass until an instance is coordinator of the large customer; return its name."""
+    """Advance time until an instance coordinates the customer "large"; return its name."""
     while True:
         for name, daemon in cell.daemons.items():
             if daemon.supervisor.part("home").dump().get("large"):
@@ -88,10 +89,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_unanswered_request_keeps_its_place(monkeypatch, safeguard):
-    """Requests run far longer than declared; their callers' deadlines pass, they run on.
+    """Requests run far longer than declared, and continue after their callers' deadlines.
 
-    Their places must stay taken until the worker's report no longer names them, or the next
-    requests would be placed on top of them.
+    Their places must stay taken until the worker's report no longer lists them. Otherwise the next
+    requests would exceed the worker's capacity.
     """
     if not safeguard:
 
@@ -105,16 +106,17 @@
             cell.request("a1", customer, "lookup", seconds=20.0, deadline_s=0.5)
         cell.advance(0.1)
     cell.advance(1.0)
-    assert broken_promises(cell) == expected(safeguard, "no worker over its capacity")
+    assert violated_invariants(cell) == expected(safeguard, "no worker over its capacity")
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_request_that_comes_late_is_refused(monkeypatch, safeguard):
-    """Requests are under way to a worker for longer than their callers wait.
+def test_request_that_arrives_late_is_refused(monkeypatch, safeguard):
+    """Requests are in flight to a worker for longer than their callers wait.
 
-    The report names none of them, so their places are given to others. Arriving then, they would
-    run on top. The worker refuses them: each names the moment up to which it may begin, and its
-    place is kept until that moment has passed on the worker's clock. (Chaos seed 186.)
+    The worker's report does not list them yet. If their places were given to others, they would
+    exceed the worker's capacity on arrival. Each request therefore carries the time up to which it
+    may begin. The worker refuses it after that time, and its place is kept until that time has
+    passed on the worker's clock. (Chaos seed 186.)
     """
     if not safeguard:
         monkeypatch.setattr(WorkerState, "_check_in_time", lambda self, request_id, until: None)
@@ -131,37 +133,40 @@
         for customer in ("small", "large"):
             cell.request("a1", customer, "lookup", seconds=8.0, deadline_s=9.0)
     cell.advance(12.0)
-    assert broken_promises(cell) == expected(safeguard, "no worker over its capacity")
+    assert violated_invariants(cell) == expected(safeguard, "no worker over its capacity")
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_new_owner_accounts_what_it_finds(monkeypatch, safeguard):
-    """An owner dies while its workers are full of running tasks.
+def test_new_owner_accounts_for_running_tasks(monkeypatch, safeguard):
+    """An owner crashes while its workers are full of running tasks.
 
-    The next owner must count what the worker says that runs there before it places anything.
+    Before it places anything, the next owner must account for the tasks and requests that the
+    worker reports as running.
     """
     if not safeguard:
         add_worker = OwnerScheduler.add_worker
 
-        def forgetful(self, allocation, now, *, tasks=(), requests=(), leaving=False):
+        def add_worker_without_report(
+            self, allocation, now, *, tasks=(), requests=(), leaving=False
+        ):
             return add_worker(self, allocation, now)
 
-        monkeypatch.setattr(OwnerScheduler, "add_worker", forgetful)
+        monkeypatch.setattr(OwnerScheduler, "add_worker", add_worker_without_report)
     cell = make_cell()
     for customer in ("small", "large"):
         cell.submit("a1", make_job("j1", "refresh", 60, seconds=9.0, customer=customer))
     cell.advance(1.0)
     cell.crash_instance("a2")
     cell.advance(7.0)
-    assert ("no worker over its capacity" in broken_promises(cell)) is not safeguard
+    assert ("no worker over its capacity" in violated_invariants(cell)) is not safeguard
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_lease_on_the_workers_clock_is_not_made_longer_by_delay(safeguard):
-    """A renewal is under way for 20 s. It names a moment on the worker's clock, so it is stale.
+def test_lease_on_the_workers_clock_is_not_extended_by_delay(safeguard):
+    """A renewal is in flight for 20 s. It holds a time on the worker's clock, so it is expired.
 
-    A renewal of the form "15 s from now" would let the task run on after its sender reckoned it
-    over and placed it elsewhere.
+    A renewal of the form "15 s from now" would let the task run on after the sender has counted the
+    lease as expired and placed the task elsewhere.
     """
     sent, delay, lease = 100.0, 20.0, 15.0
     clock = LeaseClock(worker_time=50.0, sent=sent - 1, received=sent)
@@ -173,10 +178,10 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_group_commit_splits_a_refused_group(monkeypatch, safeguard):
-    """Two customers' records share a transaction, and one customer's coordinator was taken over.
+    """Two customers' records share a transaction, and one customer has a new coordinator.
 
-    The one refused condition refuses the whole transaction. Apart, the other's records go through
-    and its job completes.
+    That customer's failed condition refuses the whole transaction. Committed separately, the other
+    customer's records are written, so that its job can complete.
     """
     if not safeguard:
 
@@ -200,14 +205,16 @@
 
 @pytest.mark.parametrize("safeguard", [True, False])
 def test_records_of_two_terms_are_not_written_under_one_condition(monkeypatch, safeguard):
-    """A coordinator loses its row and takes it again, while a record of its first term still waits.
+    """A coordinator loses its row and claims it again while a record of its first term is queued.
 
     Both records name the same task. Written together, under the condition of the second term, the
-    stale one would replace what really runs, and the next coordinator would look for it on a wrong
-    worker.
+    stale record would replace the current one, and the next coordinator would query the wrong
+    worker for the task.
     """
     if not safeguard:
-        monkeypatch.setattr("anvilflow.parts._store._agrees", lambda ask, versions: True)
+        monkeypatch.setattr(
+            "anvilflow.parts._store._conditions_agree", lambda request, versions: True
+        )
     cell = make_cell(n_instances=1)
     taken = cell.table.commit([], [("home/other", {"holder": "a1"})])
     results = {}
@@ -229,8 +236,8 @@
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
-def test_reserve_keeps_room_for_requests(safeguard):
-    """A batch fills the cell; a small customer's request still finds a place at once."""
+def test_reserve_keeps_capacity_for_requests(safeguard):
+    """A batch job takes all it may of the cell; another customer's request gets a place at once."""
     allocations = AllocationIndex(reserve=0.25 if safeguard else 0.0)
     scheduler = OwnerScheduler(reserve=allocations.reserve)
     cell = make_cell(n_instances=1)
--- a/anvilflow/parts/tests/test_whole_path.py
+++ b/anvilflow/parts/tests/test_whole_path.py
@@ -5,7 +5,7 @@
 from anvilflow.decisions import Outcome
 from anvilflow.resources import JobPhase
 
-from ._helpers import assert_promises, make_cell, make_job
+from ._helpers import assert_invariants, make_cell, make_job
 
 
 def test_request_is_served_end_to_end():
@@ -13,7 +13,7 @@
     answers = cell.request("a1", "small", "lookup")
     cell.advance(0.2)
     assert [answer.outcome for answer in answers] == [Outcome.COMPLETED]
-    assert_promises(cell)
+    assert_invariants(cell)
 
 
 @pytest.mark.parametrize("workload, n_tasks", [("refresh", 40), ("assembly", 12)])
@@ -24,4 +24,4 @@
     assert answers[0].changed
     job = cell.job("large", "j1")
     assert (job.phase, job.n_done, job.n_failed) == (JobPhase.COMPLETED, n_tasks, 0)
-    assert_promises(cell)
+    assert_invariants(cell)
