--- a/anvilflow/clients/__init__.py
+++ b/anvilflow/clients/__init__.py
@@ -1,14 +1,14 @@
-"""Clients of the project's own contract: table, membership list and workers."""
+"""Clients of the services in the project's own contract: table, objects, membership, workers."""
 
 from ._http import NOT_SENT, HttpClient
 from ._membership import MemberInfo, MembershipClient, MembershipList
 from ._objects import ObjectClient
-from ._resource_store import LOG_KEPT, ResourceStore, Written
+from ._resource_store import MAX_LOG_CHANGES, ResourceStore, WriteResult
 from ._table import Condition, Row, TableClient, Write
 from ._worker import ClaimReport, FinishedTask, SyncReport, WorkerClient
 
 __all__ = [
-    "LOG_KEPT",
+    "MAX_LOG_CHANGES",
     "NOT_SENT",
     "ClaimReport",
     "Condition",
@@ -24,5 +24,5 @@
     "TableClient",
     "WorkerClient",
     "Write",
-    "Written",
+    "WriteResult",
 ]
--- a/anvilflow/clients/_membership.py
+++ b/anvilflow/clients/_membership.py
@@ -1,4 +1,4 @@
-"""The platform's list of live and leaving instances."""
+"""Client of the platform's membership list."""
 
 from typing import Literal
 
@@ -11,7 +11,7 @@
 
 
 class MemberInfo(Struct, kw_only=True):
-    """One instance or worker on the list."""
+    """An instance or worker on the membership list."""
 
     name: str
     role: Literal["instance", "worker"]
@@ -25,13 +25,21 @@
 
 
 class MembershipList(Struct, kw_only=True):
-    """The list as the platform last knew it."""
+    """The membership list as the platform returned it."""
 
     members: list[MemberInfo]
 
 
 class MembershipClient:
-    """Reads the list over HTTP."""
+    """Reads the membership list over HTTP.
+
+    Parameters
+    ----------
+    http : HttpClient
+    address : str
+    timeout : float
+        Timeout of a call. Unit: seconds.
+    """
 
     def __init__(self, *, http, address, timeout):
         self.http = http
@@ -40,13 +48,15 @@
 
     @inlineCallbacks
     def read(self):
-        """Return the :class:`MembershipList`; AF402 without an answer."""
+        """Return the :class:`MembershipList`; AF402 if there is no response."""
         try:
             status, body = yield self.http.post_json(
                 f"http://{self.address}/members", {}, timeout=self.timeout
             )
         except Exception as exc:
-            raise PlatformUnavailableError(f"the membership list gave no answer: {exc!r}") from exc
+            raise PlatformUnavailableError(
+                f"no response from the membership list: {exc!r}"
+            ) from exc
         if status != 200:
-            raise PlatformUnavailableError(f"the membership list answered {status}")
+            raise PlatformUnavailableError(f"the membership list responded with status {status}")
         return decode(body, MembershipList, error=PlatformError)
--- a/anvilflow/clients/_objects.py
+++ b/anvilflow/clients/_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object store."""
+"""Client of the platform's object store."""
 
 from urllib.parse import quote
 
@@ -8,16 +8,16 @@
 
 
 class ObjectClient:
-    """Puts and gets whole objects over HTTP.
+    """Stores and fetches whole objects over HTTP.
 
-    Putting the same object again changes nothing, so a put whose answer was lost is repeated.
+    Storing an object is idempotent, so a put whose response was lost can be repeated.
 
     Parameters
     ----------
     http : HttpClient
     address : str
     timeout : float
-        Wait for an answer. Unit: seconds.
+        Timeout of a call. Unit: seconds.
     """
 
     def __init__(self, *, http, address, timeout):
@@ -27,14 +27,14 @@
 
     @inlineCallbacks
     def put(self, key, body):
-        """Store an object; AF402 without an answer: it may or may not be there."""
+        """Store an object; after AF402 the object may or may not be stored."""
         status, _ = yield self._call("put", key, body)
         if status != 200:
-            raise PlatformUnavailableError(f"the object store answered {status}")
+            raise PlatformUnavailableError(f"the object store responded with status {status}")
 
     @inlineCallbacks
     def get(self, key):
-        """Return an object's bytes; AF201 when there is none."""
+        """Return the bytes of an object; AF201 if the object does not exist."""
         status, body = yield self._call("get", key, b"")
         match status:
             case 200:
@@ -42,7 +42,7 @@
             case 404:
                 raise NotFoundError(f"object {key} does not exist")
             case _:
-                raise PlatformUnavailableError(f"the object store answered {status}")
+                raise PlatformUnavailableError(f"the object store responded with status {status}")
 
     @inlineCallbacks
     def _call(self, verb, key, body):
@@ -50,5 +50,5 @@
         try:
             result = yield self.http.post(url, body, timeout=self.timeout)
         except Exception as exc:
-            raise PlatformUnavailableError(f"the object store gave no answer: {exc!r}") from exc
+            raise PlatformUnavailableError(f"no response from the object store: {exc!r}") from exc
         return result
--- a/anvilflow/clients/_table.py
+++ b/anvilflow/clients/_table.py
@@ -1,4 +1,4 @@
-"""The platform's transactional table service."""
+"""Client of the platform's transactional table service."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -8,7 +8,7 @@
 
 
 class Row(Struct, kw_only=True):
-    """A row as read; version 0 stands for no row."""
+    """A row as read; version 0 means that the row does not exist."""
 
     key: str
     version: int
@@ -16,28 +16,28 @@
 
 
 class Condition(Struct, kw_only=True):
-    """A row must have this version; 0: must not exist."""
+    """Version that a row must have; 0 means that the row must not exist."""
 
     key: str
     version: int
 
 
 class Write(Struct, kw_only=True):
-    """A row's new value; None deletes it."""
+    """New value of a row; None deletes the row."""
 
     key: str
     value: object
 
 
 class TableClient:
-    """Reads and conditional transactions over HTTP.
+    """Reads rows and commits conditional transactions over HTTP.
 
     Parameters
     ----------
     http : HttpClient
     address : Address
     timeout : float
-        Wait for an answer. Unit: seconds.
+        Timeout of a call. Unit: seconds.
     """
 
     def __init__(self, *, http, address, timeout):
@@ -50,26 +50,26 @@
 
     @inlineCallbacks
     def read(self, keys):
-        """Return the rows at `keys`, in their order."""
+        """Return the rows at `keys`, in the order of `keys`."""
         self.n_reads += 1
-        answer = yield self._call("read", {"keys": list(keys)})
+        response = yield self._call("read", {"keys": list(keys)})
         rows = [
-            Row(key=key, version=version, value=value) for key, version, value in answer["rows"]
+            Row(key=key, version=version, value=value) for key, version, value in response["rows"]
         ]
         return rows
 
     @inlineCallbacks
     def scan(self, prefix, *, after="", limit=500):
-        """Return the rows whose key starts with `prefix` and comes after `after`, sorted."""
+        """Return up to `limit` rows whose keys start with `prefix` and follow `after`, sorted."""
         self.n_reads += 1
-        answer = yield self._call("scan", {"prefix": prefix, "after": after, "limit": limit})
+        response = yield self._call("scan", {"prefix": prefix, "after": after, "limit": limit})
         return [
-            Row(key=key, version=version, value=value) for key, version, value in answer["rows"]
+            Row(key=key, version=version, value=value) for key, version, value in response["rows"]
         ]
 
     @inlineCallbacks
     def scan_all(self, prefix):
-        """Return all rows whose key starts with `prefix`, read page by page."""
+        """Return all rows with keys that start with `prefix`, read page by page."""
         rows = []
         page = yield self.scan(prefix)
         while page:
@@ -79,25 +79,25 @@
 
     @inlineCallbacks
     def commit(self, conditions, writes):
-        """Write all or nothing.
+        """Write all rows or none; return the version of the transaction.
 
         Raises
         ------
         PreconditionError
-            AF403: a condition did not hold, nothing was written.
+            AF403: a condition was not met and nothing was written.
         PlatformUnavailableError
-            AF402: no answer; the writes may or may not have taken effect.
+            AF402: there was no response; the writes may or may not have taken effect.
         """
         self.n_commits += 1
         self.n_written += len(writes)
-        answer = yield self._call(
+        response = yield self._call(
             "commit",
             {
                 "conditions": [[item.key, item.version] for item in conditions],
                 "writes": [[item.key, item.value] for item in writes],
             },
         )
-        return answer["version"]
+        return response["version"]
 
     @inlineCallbacks
     def _call(self, verb, value):
@@ -105,13 +105,13 @@
         try:
             status, body = yield self.http.post_json(url, value, timeout=self.timeout)
         except Exception as exc:
-            raise PlatformUnavailableError(f"the table gave no answer: {exc!r}") from exc
+            raise PlatformUnavailableError(f"no response from the table: {exc!r}") from exc
         match status:
             case 200:
                 return decode_lenient(body)
             case 409:
                 raise PreconditionError("a row has changed", details=decode_lenient(body))
             case 429 | 500 | 502 | 503 | 504:
-                raise PlatformUnavailableError(f"the table answered {status}")
+                raise PlatformUnavailableError(f"the table responded with status {status}")
             case _:
-                raise PlatformError(f"the table answered {status}")
+                raise PlatformError(f"the table responded with status {status}")
--- a/anvilflow/clients/_worker.py
+++ b/anvilflow/clients/_worker.py
@@ -1,4 +1,4 @@
-"""Calls to one worker; the contract is in docs/CONTRACTS.md."""
+"""Client of a worker; the contract is in docs/CONTRACTS.md."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -11,7 +11,7 @@
 
 
 class FinishedTask(Struct, kw_only=True):
-    """A task that ended and whose result the worker keeps until told to forget it."""
+    """A task that has ended; the worker keeps its result until the owner sends ``forget``."""
 
     hold_id: str
     ok: bool
@@ -19,7 +19,7 @@
 
 
 class ClaimReport(Struct, kw_only=True):
-    """A worker's answer to its new owner."""
+    """Response of a worker to the claim of a new owner."""
 
     epoch: int
     clock: float
@@ -30,7 +30,7 @@
 
 
 class SyncReport(Struct, kw_only=True):
-    """A worker's answer to its owner's renewals."""
+    """Response of a worker to the lease renewals of its owner."""
 
     clock: float
     tasks: list[str]
@@ -39,20 +39,20 @@
 
 
 class WorkerClient:
-    """Calls to one worker under one ownership epoch.
+    """Sends calls to one worker under one ownership epoch.
 
     Parameters
     ----------
     http : HttpClient
     address : str
     timeout : float
-        Wait for the answer to a control call. Unit: seconds.
+        Timeout of a control call. Unit: seconds.
 
     Notes
     -----
-    A refusal (HTTP 409, 429 or 503) says that the worker did nothing: it raises
-    :class:`WorkerRefusedError`. No answer, or half of one, raises
-    :class:`WorkerUnreachableError`: what was sent may or may not run.
+    A refusal (HTTP 409, 429 or 503) means that the worker did nothing and raises
+    :class:`WorkerRefusedError`. A missing or incomplete response raises
+    :class:`WorkerUnreachableError`: the worker may or may not have acted on the call.
     """
 
     def __init__(self, *, http, address, timeout):
@@ -72,14 +72,16 @@
 
     @inlineCallbacks
     def sync(self, *, renew, stop, forget):
-        """Renew leases, stop and forget tasks; return a :class:`SyncReport`.
+        """Renew leases, stop tasks and release results; return a :class:`SyncReport`.
 
         Parameters
         ----------
         renew : list of (str, float)
-            Holds and the moment on the worker's clock up to which each may run.
-        stop, forget : list of str
-            Holds.
+            Hold ids, each with the end of its lease on the worker's clock.
+        stop : list of str
+            Hold ids of the tasks to stop.
+        forget : list of str
+            Hold ids of the ended tasks whose results the worker may delete.
         """
         body = yield self._control("sync", {"renew": renew, "stop": stop, "forget": forget})
         return decode(body, SyncReport, error=WorkerUnreachableError)
@@ -100,9 +102,9 @@
 
     @inlineCallbacks
     def request(self, *, request_id, workload, needs, payload, until, timeout):
-        """Run a service request; return whether it succeeded and the answer's bytes.
+        """Run a service request; return whether it succeeded and the response body.
 
-        The worker refuses it when it arrives after `until` on the worker's clock.
+        The worker refuses a request that arrives after `until` on the worker's clock.
         """
         call = encode([self.epoch, request_id, workload, needs, until])
         status, body = yield self._exchange(
@@ -112,7 +114,7 @@
             case 200:
                 return True, body
             case 409 | 429 | 503:
-                raise WorkerRefusedError(f"the worker refused: {status}")
+                raise WorkerRefusedError(f"the worker refused the request with status {status}")
             case _:
                 return False, body
 
@@ -125,16 +127,16 @@
             case 200:
                 return body
             case 409 | 429 | 503:
-                raise WorkerRefusedError(f"the worker refused {verb}: {status}")
+                raise WorkerRefusedError(f"the worker refused {verb} with status {status}")
             case _:
-                raise WorkerUnreachableError(f"the worker answered {status} to {verb}")
+                raise WorkerUnreachableError(f"the worker responded with status {status} to {verb}")
 
     @inlineCallbacks
     def _exchange(self, url, body, timeout, headers):
         try:
             result = yield self.http.post(url, body, timeout=timeout, headers=headers)
         except (*NOT_SENT, ConnectError, ConnectionRefusedError) as exc:
-            raise WorkerRefusedError(f"nothing was sent: {exc!r}") from exc
+            raise WorkerRefusedError(f"the call was not sent: {exc!r}") from exc
         except Exception as exc:
-            raise WorkerUnreachableError(f"no answer: {exc!r}") from exc
+            raise WorkerUnreachableError(f"no response from the worker: {exc!r}") from exc
         return result
