--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -18,7 +18,7 @@
     UnknownOutcomeError,
 )
 from ..jobs import ENDED_STATES, JobState, longest_chain_s
-from ..platform import FrontResource, ReadyResource
+from ..platform import JobsResource, ReadyResource
 from ..runtime import Part
 from ..utils import encode
 from ._context import Claimed, LeaderChanged
@@ -99,7 +99,7 @@
     def start(self):
         """Listen to clients and to the balancer."""
         listen = self.context.settings.listen
-        self.front = FrontResource(gateway=self)
+        self.front = JobsResource(gateway=self)
         front = Site(self.front, timeout=60)
         front.log = lambda request: None
         ready = Site(ReadyResource(is_ready=self._is_ready), timeout=60)
--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -276,7 +276,7 @@
     Evidence. Found by reading; with the feed refused for 5.5 s a change had not come after 3 s.
     """
     if not safeguard:
-        monkeypatch.setattr(_store, "_brings_rows", lambda status: True)
+        monkeypatch.setattr(_store, "_has_rows", lambda status: True)
     cell = _slow_cell()
     name = cell.other()
     cell.advance(0.2)
--- a/anvilflow/platform/__init__.py
+++ b/anvilflow/platform/__init__.py
@@ -1,8 +1,8 @@
-"""Translates between the users' platform and anvilflow; nothing outside knows the wire's names."""
+"""Adapter to the users' platform; the names on its wire are used only in this package."""
 
 from ._advice import Advice, AdviceClient
 from ._config import decode_config
-from ._front import FrontResource, ReadyResource
+from ._front import JobsResource, ReadyResource
 from ._jobs import decode_job
 from ._registry import decode_worker
 from ._store import Row, RowCondition, RowWrite, StoreClient
@@ -15,7 +15,7 @@
     "REGISTRY_TABLE",
     "Advice",
     "AdviceClient",
-    "FrontResource",
+    "JobsResource",
     "ReadyResource",
     "Row",
     "RowCondition",
--- a/anvilflow/platform/_advice.py
+++ b/anvilflow/platform/_advice.py
@@ -1,4 +1,4 @@
-"""The service that knows which workers a queue's policy allows for a step."""
+"""Client of the advice service, which returns the workers that a queue's policy allows."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -9,7 +9,7 @@
 
 
 class Advice(Struct, kw_only=True):
-    """Tickets by allowed worker, and for how long they are good. Unit: seconds."""
+    """Tickets by allowed worker, and the time for which they are valid. Unit: seconds."""
 
     tickets: dict[str, str]
     valid_s: float
@@ -21,14 +21,14 @@
 
 
 class AdviceClient:
-    """Asks the service.
+    """Requests advice from the advice service.
 
     Parameters
     ----------
     http : HttpClient
     address : str
     timeout : float
-        Wait for an answer. Unit: seconds.
+        Timeout of a call. Unit: seconds.
     """
 
     def __init__(self, *, http, address, timeout):
@@ -38,15 +38,17 @@
 
     @inlineCallbacks
     def ask(self, step, workers):
-        """Return the :class:`Advice` on a step and some workers."""
+        """Return the :class:`Advice` for a step and a list of workers."""
         body = encode({"step": step, "workers": workers})
         headers = {b"content-type": [b"application/json"]}
         url = f"http://{self.address}/-/advise"
         try:
-            status, answer = yield self.http.post(url, body, timeout=self.timeout, headers=headers)
+            status, response = yield self.http.post(
+                url, body, timeout=self.timeout, headers=headers
+            )
         except Exception as exc:
-            raise PlatformUnavailableError(f"no advice: {exc!r}") from exc
+            raise PlatformUnavailableError(f"no response from the advice service: {exc!r}") from exc
         if status != 200:
-            raise PlatformUnavailableError(f"the advice service answered {status}")
-        wire = decode(answer, _WireAdvice, error=PlatformError)
+            raise PlatformUnavailableError(f"the advice service responded with status {status}")
+        wire = decode(response, _WireAdvice, error=PlatformError)
         return Advice(tickets=dict(wire.good), valid_s=wire.valid_ms / 1000)
--- a/anvilflow/platform/_config.py
+++ b/anvilflow/platform/_config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration."""
+"""Decoding of the operator's configuration."""
 
 from msgspec import field
 
@@ -15,7 +15,7 @@
 
 
 class _WireRoute(Wire):
-    """A route is one of our queues; its ``target-latency-ms`` is not a bound on one call."""
+    """Route, called a queue elsewhere; ``target-latency-ms`` is not a bound on a single call."""
 
     name: str
     host: str = ""
@@ -48,7 +48,7 @@
 
 
 def decode_config(body):
-    """Return the :class:`CellConfig` in a row's value; AF401 when it is malformed."""
+    """Return the :class:`CellConfig` in a row's value; AF401 if the value is malformed."""
     wire = decode(body, _WireConfig, error=PlatformError)
     limits = wire.limits
     return CellConfig(
@@ -75,11 +75,11 @@
         stretch=route.stretch,
         target_latency_s=route.target_latency_ms / 1000,
         timeout_s=route.timeout_ms / 1000,
-        advice=_advice(route.advice),
+        advice=_advice_rules(route.advice),
     )
 
 
-def _advice(wire):
+def _advice_rules(wire):
     if wire is None:
         return None
     return AdviceRules(
--- a/anvilflow/platform/_front.py
+++ b/anvilflow/platform/_front.py
@@ -1,4 +1,4 @@
-"""What clients and the platform's balancer call."""
+"""HTTP resources for clients and for the platform's load balancer."""
 
 from logbook import Logger
 from twisted.internet.defer import maybeDeferred
@@ -13,11 +13,12 @@
 
 
 class ReadyResource(Resource):
-    """Answers the balancer's check.
+    """Readiness check for the load balancer.
 
     Parameters
     ----------
     is_ready : callable
+        Returns whether the instance accepts new connections.
     """
 
     isLeaf = True
@@ -27,24 +28,24 @@
         self.is_ready = is_ready
 
     def render_GET(self, request):
-        """Answer 200 while new connections are welcome."""
+        """Respond with 200 while the instance accepts new connections, else with 503."""
         request.setResponseCode(200 if self.is_ready() else 503)
         return b""
 
 
-class FrontResource(Resource):
-    """Jobs over HTTP.
+class JobsResource(Resource):
+    """Submits, reads and cancels jobs over HTTP.
 
     Parameters
     ----------
     gateway : object
-        Offers ``config``, ``closing``, ``submit(spec, queue)``, ``state(queue, job_id)``,
-        ``cancel(queue, job_id)`` and ``pending(queue)``, which return Deferreds,
-        ``answered(verb, status)``, and ``refused(verb, path, status, error)``.
+        Provides ``config`` and ``closing``; ``submit(spec, queue)``, ``state(queue, job_id)``,
+        ``cancel(queue, job_id)`` and ``pending(queue)``, which return Deferreds; ``not_ready()``,
+        ``answered(verb, status)`` and ``refused(verb, path, status, error)``.
 
     Notes
     -----
-    `n_in_progress` counts the calls that have been read and not been answered yet.
+    `n_in_progress` is the number of calls that have been read and have no response yet.
     """
 
     isLeaf = True
@@ -56,31 +57,33 @@
         self._verbs = {b"POST": self._submit, b"GET": self._get, b"DELETE": self._cancel}
 
     def render(self, request):
-        """Answer one call."""
+        """Process a call; the response is sent when its result is available."""
         self.n_in_progress += 1
-        done = maybeDeferred(self._serve, request)
-        gone = []
-        request.notifyFinish().addErrback(gone.append)
-        done.addCallback(self._answer, request, gone)
-        done.addErrback(self._fail, request, gone)
-        done.addBoth(self._over)
+        done = maybeDeferred(self._dispatch, request)
+        disconnected = []
+        request.notifyFinish().addErrback(disconnected.append)
+        done.addCallback(self._respond, request, disconnected)
+        done.addErrback(self._fail, request, disconnected)
+        done.addBoth(self._call_ended)
         return NOT_DONE_YET
 
-    def _over(self, result):
+    def _call_ended(self, result):
         self.n_in_progress -= 1
         return result
 
-    def _serve(self, request):
+    def _dispatch(self, request):
         config = self.gateway.config
         if config is None:
             return self.gateway.not_ready()
         path = request.path.decode("utf-8", "replace")
         queue = config.queue_for(request.getRequestHostname().decode("utf-8", "replace"), path)
         if queue is None:
-            raise NotFoundError(f"no queue serves {path}")
+            raise NotFoundError(f"no queue for the host and path of the request: {path}")
         verb = self._verbs.get(request.method)
         if verb is None:
-            raise CallError(f"method {request.method.decode()} is not served")
+            raise CallError(
+                f"method {request.method.decode()} is not allowed; allowed: POST, GET, DELETE"
+            )
         return verb(request, queue, path[len(queue.prefix) :].strip("/"))
 
     def _submit(self, request, queue, job_id):
@@ -88,7 +91,7 @@
         limit = self.gateway.config.limits.max_body_bytes
         body = request.content.read(limit + 1)
         if len(body) > limit:
-            raise TooLargeError(f"the body is over {limit} bytes")
+            raise TooLargeError(f"the body is longer than {limit} bytes")
         done = self.gateway.submit(decode_job(job_id, queue.name, body), queue)
         return done.addCallback(lambda _: {})
 
@@ -102,10 +105,10 @@
         _check_job_id(job_id)
         return self.gateway.cancel(queue, job_id).addCallback(lambda _: {})
 
-    def _answer(self, value, request, gone):
-        self._write(request, gone, 200, value, None)
+    def _respond(self, value, request, disconnected):
+        self._write(request, disconnected, 200, value, None)
 
-    def _fail(self, failure, request, gone):
+    def _fail(self, failure, request, disconnected):
         error = failure.value
         if not isinstance(error, AnvilflowError):
             _log.error("call failed", trace=failure.getTraceback()[-1500:])
@@ -113,10 +116,12 @@
         retry_after = (error.details or {}).get("retry_after_s")
         verb, path = request.method.decode("latin-1"), request.path.decode("utf-8", "replace")
         self.gateway.refused(verb, path, error.http_status, error)
-        self._write(request, gone, error.http_status, {"error": error.to_dict()}, retry_after)
+        self._write(
+            request, disconnected, error.http_status, {"error": error.to_dict()}, retry_after
+        )
 
-    def _write(self, request, gone, status, value, retry_after):
-        if gone:
+    def _write(self, request, disconnected, status, value, retry_after):
+        if disconnected:
             return
         self.gateway.answered(request.method.decode("latin-1"), status)
         request.setResponseCode(status)
@@ -124,7 +129,7 @@
         if retry_after is not None:
             request.setHeader(b"retry-after", str(max(1, round(retry_after))).encode())
         if self.gateway.closing:
-            # The client's next call goes to another instance.
+            # The client then sends its next call to another instance.
             request.setHeader(b"connection", b"close")
         body = encode(value)
         request.setHeader(b"content-length", str(len(body)).encode())
@@ -134,4 +139,4 @@
 
 def _check_job_id(job_id):
     if not JOB_ID.match(job_id):
-        raise CallError(f"{job_id!r} is no job id; allowed: 16 of 0-9 and a-f")
+        raise CallError(f"invalid job id {job_id!r}; allowed: 16 characters of 0-9 and a-f")
--- a/anvilflow/platform/_jobs.py
+++ b/anvilflow/platform/_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs as clients send them."""
+"""Decoding of the jobs that clients submit."""
 
 import re
 
@@ -7,14 +7,14 @@
 from ..utils import decode
 from ._wire import Wire
 
-#: What a client may call a job.
+#: Valid job ids, which clients choose.
 JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 
-#: Longest text that goes to a job's tasks. Unit: bytes; the platform's own limit.
+#: Maximum length of the text for a job's tasks, a limit of the platform. Unit: bytes.
 MAX_SPEC_BYTES = 4000
 
-#: Most tasks of one job. Each is a few hundred bytes of memory at the leader, which has 300 MB; the
-#: largest job that users describe has some hundred.
+#: Maximum number of tasks of a job. Each takes a few hundred bytes of memory at the leader, which
+#: has 300 MB; the largest job that users describe has some hundred tasks.
 MAX_TASKS = 5000
 
 
@@ -40,7 +40,7 @@
 
 
 class _WireJob(Wire):
-    """A job; its ``spec`` is only the text for its tasks."""
+    """Job; ``spec`` is only the text that is passed to its tasks."""
 
     spec: str = ""
     steps: list[_WireStep] = []
@@ -50,14 +50,14 @@
 
 
 def decode_job(job_id, queue, body):
-    """Return the :class:`JobSpec` in a client's body; AF301 says what is wrong with it."""
+    """Return the :class:`JobSpec` in a request body; AF301 describes the first error."""
     wire = decode(body, _WireJob)
     if len(wire.spec.encode()) > MAX_SPEC_BYTES:
-        raise CallError(f"spec: over {MAX_SPEC_BYTES} bytes")
+        raise CallError(f"spec: longer than {MAX_SPEC_BYTES} bytes")
     if not wire.steps:
-        raise CallError("steps: a job has at least one")
+        raise CallError("steps: a job must have at least one step")
     if sum(step.count for step in wire.steps) > MAX_TASKS:
-        raise CallError(f"steps: over {MAX_TASKS} tasks in all")
+        raise CallError(f"steps: more than {MAX_TASKS} tasks in total")
     return JobSpec(
         job_id=job_id,
         queue=queue,
@@ -71,9 +71,13 @@
 
 def _step(wire, number):
     if wire.count < 1 or min(wire.cpu, wire.mem_mb, wire.gpu, wire.anti_affinity) < 0:
-        raise CallError(f"steps[{number}]: count must be above 0, amounts not below")
+        raise CallError(
+            f"steps[{number}]: count must be at least 1, and amounts must not be negative"
+        )
     if any(not 0 <= earlier < number for earlier in wire.after):
-        raise CallError(f"steps[{number}].after: only earlier steps, counted from 0")
+        raise CallError(
+            f"steps[{number}].after: only numbers of earlier steps are allowed, counted from 0"
+        )
     return StepSpec(
         n_tasks=wire.count,
         cpu_milli=wire.cpu,
--- a/anvilflow/platform/_registry.py
+++ b/anvilflow/platform/_registry.py
@@ -1,4 +1,4 @@
-"""Workers as they register themselves in the store."""
+"""Decoding of the registry entries that workers write to the store."""
 
 from typing import Annotated, Literal
 
@@ -9,11 +9,11 @@
 from ..utils import decode
 from ._wire import Wire
 
-_Name = Annotated[str, Meta(min_length=1)]
+_NonEmptyStr = Annotated[str, Meta(min_length=1)]
 _Amount = Annotated[int, Meta(ge=0)]
-_Time = Annotated[float, Meta(ge=0.0)]
+_Milliseconds = Annotated[float, Meta(ge=0.0)]
 
-_LAST_PORT = 65_535
+_MAX_PORT = 65_535
 
 
 class _WireCapacity(Wire):
@@ -23,27 +23,27 @@
 
 
 class _WireWorker(Wire):
-    """An entry. Its ``labels`` are the worker's kind and its rack, in this order.
+    """Registry entry; ``labels`` holds the worker's kind and its rack, in this order.
 
-    Entries may come from another writer. All that every worker says of itself is asked for here,
-    also what is not used: an entry without it is no worker's.
+    Other writers may add entries. Every field that all workers write is required, including unused
+    ones: an entry without one of them does not belong to a worker.
     """
 
-    service: _Name
-    address: _Name
-    zone: _Name
+    service: _NonEmptyStr
+    address: _NonEmptyStr
+    zone: _NonEmptyStr
     version: str
     slots: _Amount
     state: Literal["ready", "draining"]
     sequence: int
     capacity: _WireCapacity
     labels: list[str]
-    cold_remaining_ms: _Time = 0.0
-    remaining_ms: _Time | None = None
+    cold_remaining_ms: _Milliseconds = 0.0
+    remaining_ms: _Milliseconds | None = None
 
 
 def decode_worker(worker_id, body):
-    """Return the :class:`WorkerInfo` in an entry's value; AF401 when it names no worker."""
+    """Return the :class:`WorkerInfo` in a registry entry; AF401 if it describes no worker."""
     wire = decode(body, _WireWorker, error=PlatformError)
     _check_address(wire.address)
     capacity = wire.capacity
@@ -65,6 +65,6 @@
 
 def _check_address(address):
     host, _, port = address.rpartition(":")
-    is_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _LAST_PORT
+    is_port = port.isascii() and port.isdigit() and 0 < int(port[:6]) <= _MAX_PORT
     if not (host and is_port):
         raise PlatformError(f"not HOST:PORT - at `$.address`: {address[:80]!r}")
--- a/anvilflow/platform/_store.py
+++ b/anvilflow/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: versioned rows, conditional transactions, feeds."""
+"""Client of the metadata store: versioned rows, conditional transactions and change feeds."""
 
 import base64
 from urllib.parse import urlencode
@@ -16,15 +16,15 @@
 )
 from ..utils import decode, encode
 
-#: The feed's answer may come this much after its wait. Unit: seconds.
+#: Additional time for the response of a feed after its wait. Unit: seconds.
 FEED_GRACE_S = 1.0
 
-#: Rows of one page; the platform's own limit.
+#: Maximum number of rows of a page, a limit of the platform.
 PAGE_ROWS = 500
 
 
 class Row(Struct, kw_only=True):
-    """A row as read; `value` is None for a row that was removed."""
+    """A row as read; `value` is None if the row was removed."""
 
     table: str
     part: str
@@ -34,7 +34,7 @@
 
 
 class RowCondition(Struct, kw_only=True):
-    """The row must have this version; 0: it must not exist."""
+    """Version that a row must have; 0 means that the row must not exist."""
 
     table: str
     part: str
@@ -43,7 +43,7 @@
 
 
 class RowWrite(Struct, kw_only=True):
-    """A row's new value; None removes it."""
+    """New value of a row; None removes the row."""
 
     table: str
     part: str
@@ -52,7 +52,7 @@
 
 
 class _WireRow(Struct):
-    """A row on the wire; ``ver`` is its version, ``tombstone`` marks one that was removed."""
+    """Row on the wire; ``ver`` is its version, ``tombstone`` marks a removed row."""
 
     table: str = ""
     part: str = ""
@@ -62,49 +62,49 @@
     tombstone: bool = False
 
     def to_row(self):
-        """Return the row in our terms."""
+        """Return the row as a :class:`Row`."""
         value = None if self.tombstone else base64.b64decode(self.value)
         return Row(table=self.table, part=self.part, key=self.key, version=self.ver, value=value)
 
 
-class _Answer(Struct):
+class _WireResponse(Struct):
     rows: list[_WireRow] = []
     ver: int = 0
     now_ms: int = field(default=0, name="now-ms")
     truncated: bool = False
 
 
-def _nothing():
-    """Take no notice."""
+def _no_op():
+    """Do nothing."""
 
 
-def _brings_rows(status):
-    """Whether an answer's status says that what was asked for follows.
+def _has_rows(status):
+    """Whether a response with this status contains rows.
 
-    A refusal brings nothing. Taken for the beginning of a change it broke off the reading that did
-    bring it, four times a second where the feed was refused.
+    A refusal contains none. Taken for the beginning of a change, each refusal of a feed, four a
+    second, would abort the read that does return the change.
     """
     return status == 200
 
 
 class StoreClient:
-    """Calls to the store.
+    """Reads, writes and follows rows of the store over HTTP.
 
     Parameters
     ----------
     http : HttpClient
     address : str
     timeout : float
-        Wait for an answer to begin, and longest pause in it. Unit: seconds.
+        Timeout until the response begins, and longest pause in the response. Unit: seconds.
 
     Notes
     -----
-    The operator decides how large a configuration is, and callers how many jobs there are: over a
-    link of 5 Mbit/s a whole answer takes seconds. A limit on all of it would be passed by each try
-    anew; one on its pauses still finds a connection that has gone silent.
+    The operator determines the size of the configuration, and clients the number of jobs: over a
+    link of 5 Mbit/s a complete response takes seconds. Every attempt would exceed a timeout for the
+    whole response; a timeout for its pauses still detects a connection that delivers nothing.
 
-    :class:`PlatformRefusedError` says that nothing was done. :class:`PlatformUnavailableError` says
-    that a write may have been done, or may be done seconds later.
+    :class:`PlatformRefusedError` means that nothing was done. :class:`PlatformUnavailableError`
+    means that a write may have taken effect, or may take effect seconds later.
     """
 
     def __init__(self, *, http, address, timeout):
@@ -116,19 +116,19 @@
 
     @inlineCallbacks
     def commit(self, conditions, writes, *, timeout=None):
-        """Write all or nothing; return the new version of every row written.
+        """Write all rows or none; return the new version of the written rows.
 
         Parameters
         ----------
         conditions : list of RowCondition
         writes : list of RowWrite
         timeout : float, default=None
-            Wait for the answer, in place of the client's own. Unit: seconds.
+            Timeout of the call; None uses that of the client. Unit: seconds.
 
         Raises
         ------
         PreconditionError
-            AF403; its ``details["rows"]`` are the rows of the conditions as they are.
+            AF403; its ``details["rows"]`` are the current rows of the conditions.
         """
         self.n_writes += 1
         body = {
@@ -137,20 +137,22 @@
             "remove": [_wire_key(item) for item in writes if item.value is None],
         }
         wait = self.timeout if timeout is None else timeout
-        status, answer = yield self._call(b"POST", "rows-tx", encode(body), wait)
+        status, response = yield self._call(b"POST", "rows-tx", encode(body), wait)
         if status == 412:
-            rows = [row.to_row() for row in decode(answer, _Answer, error=PlatformError).rows]
+            rows = [
+                row.to_row() for row in decode(response, _WireResponse, error=PlatformError).rows
+            ]
             raise PreconditionError("a row has changed", details={"rows": rows})
         _check_done(status)
-        return decode(answer, _Answer, error=PlatformUnavailableError).ver
+        return decode(response, _WireResponse, error=PlatformUnavailableError).ver
 
     @inlineCallbacks
-    def read(self, table, part, *, first="", end="", timeout=None, on_begin=_nothing):
+    def read(self, table, part, *, first="", end="", timeout=None, on_begin=_no_op):
         """Return the rows of a part from key `first` up to `end`, and the newest version.
 
-        Read page by page; the version is that of the first page, so that a feed that goes on from
-        there misses nothing that changed between the pages. `on_begin` is called when a page
-        begins to arrive.
+        The rows are read page by page. The version is that of the first page, so that a feed that
+        continues from it includes all changes made between the pages. `on_begin` is called when a
+        page begins to arrive.
         """
         rows = []
         version = None
@@ -165,22 +167,22 @@
             wait = self.timeout if timeout is None else timeout
             status, body = yield self._call(b"GET", path, b"", wait, on_begin)
             _check_done(status)
-            answer = decode(body, _Answer, error=PlatformUnavailableError)
-            version = answer.ver if version is None else version
-            rows += [row.to_row() for row in answer.rows]
-            if not answer.truncated or not answer.rows:
+            response = decode(body, _WireResponse, error=PlatformUnavailableError)
+            version = response.ver if version is None else version
+            rows += [row.to_row() for row in response.rows]
+            if not response.truncated or not response.rows:
                 return rows, version
-            first = answer.rows[-1].key + "\0"
+            first = response.rows[-1].key + "\0"
 
     @inlineCallbacks
     def read_row(self, table, part, key, *, timeout=None):
-        """Return one row, or None when there is none."""
+        """Return the row at `key`, or None if it does not exist."""
         rows, _ = yield self.read(table, part, first=key, end=key + "\0", timeout=timeout)
         return rows[0] if rows else None
 
     @inlineCallbacks
-    def follow(self, table, version, *, wait_s, answer_s=None, on_begin=_nothing):
-        """Return the changes of a table after `version`, and the version to go on from.
+    def follow(self, table, version, *, wait_s, answer_s=None, on_begin=_no_op):
+        """Return the changes of a table after `version`, and the version to continue from.
 
         Parameters
         ----------
@@ -189,15 +191,15 @@
         wait_s : float
             Longest wait for a change. Unit: seconds.
         answer_s : float, default=None
-            Time after that wait in which the answer has to begin, in place of the client's own with
-            a grace. Unit: seconds.
+            Time after that wait within which the response must begin; None uses the timeout of the
+            client plus ``FEED_GRACE_S``. Unit: seconds.
         on_begin : callable
             Called when rows begin to arrive.
 
         Raises
         ------
         RevisionGoneError
-            AF203, when the store has dropped that much of its history: read the table again.
+            AF203, if the store no longer keeps the changes after `version`: read the table again.
         """
         self.n_reads += 1
         query = urlencode({"table": table, "after": version, "wait-ms": int(wait_s * 1000)})
@@ -208,11 +210,11 @@
         if status == 410:
             raise RevisionGoneError(f"changes of {table} after {version} are no longer kept")
         _check_done(status)
-        answer = decode(body, _Answer, error=PlatformUnavailableError)
-        return [row.to_row() for row in answer.rows], answer.ver
+        response = decode(body, _WireResponse, error=PlatformUnavailableError)
+        return [row.to_row() for row in response.rows], response.ver
 
     @inlineCallbacks
-    def _call(self, method, path, body, timeout, on_begin=_nothing, held_s=0.0):
+    def _call(self, method, path, body, timeout, on_begin=_no_op, held_s=0.0):
         url = f"http://{self.address}/-/{path}"
         headers = {b"content-type": [b"application/json"]} if body else None
         try:
@@ -223,13 +225,13 @@
                 timeout=timeout,
                 held_s=held_s,
                 idle_timeout=self.timeout,
-                on_begin=lambda status: on_begin() if _brings_rows(status) else None,
+                on_begin=lambda status: on_begin() if _has_rows(status) else None,
                 headers=headers,
             )
         except NOT_SENT as exc:
-            raise PlatformRefusedError(f"the store was not reached: {exc!r}") from exc
+            raise PlatformRefusedError(f"no connection to the store: {exc!r}") from exc
         except Exception as exc:
-            raise PlatformUnavailableError(f"the store gave no answer: {exc!r}") from exc
+            raise PlatformUnavailableError(f"no response from the store: {exc!r}") from exc
         return result
 
 
@@ -238,11 +240,13 @@
         case 200:
             return
         case 429 | 503:
-            raise PlatformRefusedError(f"the store answered {status}: nothing was done")
+            raise PlatformRefusedError(
+                f"the store refused the call with status {status}; nothing was done"
+            )
         case 400 | 403 | 404 | 413:
-            raise PlatformError(f"the store answered {status}")
+            raise PlatformError(f"the store responded with status {status}")
         case _:
-            raise PlatformUnavailableError(f"the store answered {status}")
+            raise PlatformUnavailableError(f"the store responded with status {status}")
 
 
 def _wire_key(item):
--- a/anvilflow/platform/_tables.py
+++ b/anvilflow/platform/_tables.py
@@ -1,8 +1,8 @@
-"""Names of the platform's own tables and rows."""
+"""Names of the platform's tables and rows."""
 
-#: What the operator writes: the configuration, and requests for maintenance.
+#: Rows written by the operator: the configuration and maintenance requests.
 OPERATOR_TABLE = "op"
 CONFIG_KEY = "config"
 
-#: Where workers register themselves, each under its id.
+#: Registry entries of the workers, by worker id.
 REGISTRY_TABLE = "servers"
--- a/anvilflow/platform/_wire.py
+++ b/anvilflow/platform/_wire.py
@@ -1,7 +1,7 @@
-"""Base of the structures that are read from the wire."""
+"""Base class of the structures that are decoded from the platform's JSON."""
 
 from msgspec import Struct
 
 
 class Wire(Struct, rename=lambda name: name.replace("_", "-")):
-    """Fields are spelled with hyphens on the wire; those that are zero or false may be left out."""
+    """Structure with hyphenated field names on the wire; zero and false fields may be omitted."""
--- a/anvilflow/platform/_workers.py
+++ b/anvilflow/platform/_workers.py
@@ -1,4 +1,4 @@
-"""Orders to one life of a worker."""
+"""Commands to one incarnation of a worker."""
 
 from twisted.internet.error import ConnectionRefusedError
 
@@ -8,7 +8,7 @@
 from ..utils import decode, encode
 from ._wire import Wire
 
-#: What a refusal's reason on the wire says of the worker, in our terms.
+#: Reasons of a worker's refusal: the name on the wire, and the name used by the scheduler.
 _REASONS = {"fence": "fenced", "old": "old", "late": "late", "room": "room", "ticket": "ticket"}
 
 
@@ -22,7 +22,7 @@
 
 
 class WorkerCalls:
-    """Calls to a worker under one fencing token.
+    """Sends commands to a worker under one fencing token.
 
     Parameters
     ----------
@@ -30,7 +30,7 @@
     worker_id, address : str
     token : int
     timeout : float
-        Wait for the answer to an order. Unit: seconds.
+        Timeout of a command. Unit: seconds.
     """
 
     def __init__(self, *, http, worker_id, address, token, timeout):
@@ -45,31 +45,33 @@
         }
 
     def renew_leases(self, *, seen, until_s, wait_s, timeout=None):
-        """Renew the lease of all that runs; the Deferred fires with a :class:`WorkerReport`.
+        """Renew the leases of all runs; the Deferred fires with a :class:`WorkerReport`.
 
         Parameters
         ----------
         seen : int
-            Number up to which the worker may forget ends.
+            Number of the last end received; the worker may delete the ends up to this number.
         until_s : float or None
-            End of the lease on the worker's clock; None leaves it as it is. Unit: seconds.
+            New end of the leases on the worker's clock; None keeps the end. Unit: seconds.
         wait_s : float
-            The worker answers at the next end, or after this time. Unit: seconds.
+            The worker responds at the next end of a run, or after this time. Unit: seconds.
         timeout : float, default=None
-            Wait for the answer beyond that time, in place of the client's own. Unit: seconds.
+            Timeout in addition to `wait_s`; None uses that of the client. Unit: seconds.
         """
         body = {"fencing-token": self.token, "last-seen": seen}
         if until_s is not None:
             body["until-ms"] = int(until_s * 1000)
         if wait_s:
             body["wait-ms"] = int(wait_s * 1000)
-        call = self._command("hold", body, self._wait(timeout) + wait_s, held_s=wait_s)
-        return call.addCallback(_report)
+        call = self._command(
+            "hold", body, self._timeout_or_default(timeout) + wait_s, held_s=wait_s
+        )
+        return call.addCallback(_worker_report)
 
     def start(self, action, *, until_s, timeout=None):
         """Start a run; the Deferred fires with the worker's clock. Unit: seconds.
 
-        It may be called again: a worker that has the run already says so.
+        The call can be repeated: a worker that already has the run reports success.
         """
         body = {
             "task": action.task,
@@ -82,77 +84,78 @@
             body["checkpoint"] = action.checkpoint
         if action.ticket:
             body["ticket"] = action.ticket
-        call = self._command("run-start", body, self._wait(timeout))
-        return call.addCallback(lambda answer: answer.clock_ms / 1000)
+        call = self._command("run-start", body, self._timeout_or_default(timeout))
+        return call.addCallback(lambda response: response.clock_ms / 1000)
 
     def stop(self, action, *, timeout=None):
-        """Stop a run, or bar it from starting later."""
+        """Stop a run, or prevent it from starting later."""
         body = {"task": action.task, "run-id": action.run_id, "fencing-token": self.token}
-        return self._command("run-stop", body, self._wait(timeout))
+        return self._command("run-stop", body, self._timeout_or_default(timeout))
 
     def set_pace(self, action, *, timeout=None):
-        """Let a run work at a share of its speed."""
+        """Set the speed of a run, as a percentage of its full speed."""
         body = {
             "task": action.task,
             "run-id": action.run_id,
             "percent": action.percent,
             "fencing-token": self.token,
         }
-        return self._command("pace", body, self._wait(timeout))
+        return self._command("pace", body, self._timeout_or_default(timeout))
 
-    def _wait(self, timeout):
+    def _timeout_or_default(self, timeout):
         return self.timeout if timeout is None else timeout
 
     def _command(self, verb, body, timeout, held_s=0.0):
         call = self.http.post(
             self._base + verb, encode(body), timeout=timeout, held_s=held_s, headers=self._headers
         )
-        call.addCallbacks(self._answered, _unanswered, callbackArgs=(verb,))
+        call.addCallbacks(self._decode_response, _raise_call_error, callbackArgs=(verb,))
         return call
 
-    def _answered(self, result, verb):
-        status, answer = result
+    def _decode_response(self, result, verb):
+        status, response = result
         match status:
             case 200:
-                return decode(answer, _WireReport, error=WorkerUnreachableError)
+                return decode(response, _WireReport, error=WorkerUnreachableError)
             case 409:
-                reason = decode(answer, _WireReport, error=WorkerUnreachableError).reason
+                reason = decode(response, _WireReport, error=WorkerUnreachableError).reason
                 raise WorkerRefusedError(
                     f"the worker refused {verb}: {reason}",
                     details={"reason": _REASONS.get(reason, reason)},
                 )
             case 421:
-                raise WorkerGoneError(f"{self.worker_id} is no longer at its address")
+                raise WorkerGoneError(f"{self.worker_id} no longer runs at its address")
             case 400 | 429 | 503:
                 raise WorkerRefusedError(
-                    f"the worker answered {status} to {verb}", details={"reason": "unhealthy"}
+                    f"the worker responded with status {status} to {verb}",
+                    details={"reason": "unhealthy"},
                 )
             case _:
-                raise WorkerUnreachableError(f"the worker answered {status} to {verb}")
+                raise WorkerUnreachableError(f"the worker responded with status {status} to {verb}")
 
 
-def _unanswered(failure):
+def _raise_call_error(failure):
     error = failure.value
     if failure.check(*NOT_SENT):
         raise WorkerRefusedError(
-            f"the worker was not reached: {error!r}",
+            f"no connection to the worker: {error!r}",
             details={
                 "reason": "unreached",
                 "nobody_listens": isinstance(error, ConnectionRefusedError),
             },
         ) from error
-    raise WorkerUnreachableError(f"no answer: {error!r}") from error
+    raise WorkerUnreachableError(f"no response from the worker: {error!r}") from error
 
 
-def _report(answer):
+def _worker_report(response):
     return WorkerReport(
-        clock_s=answer.clock_ms / 1000,
-        active=tuple(_run(row) for row in answer.active),
-        ended=tuple(_end(row) for row in answer.finished),
+        clock_s=response.clock_ms / 1000,
+        active=tuple(_run_report(row) for row in response.active),
+        ended=tuple(_run_end(row) for row in response.finished),
     )
 
 
-def _run(row):
+def _run_report(row):
     task, run_id, checkpoint, percent, *rest = row
     return RunReport(
         task=task,
@@ -163,6 +166,6 @@
     )
 
 
-def _end(row):
+def _run_end(row):
     number, task, run_id, how, checkpoint = row
     return RunEnd(number=number, task=task, run_id=run_id, how=how, checkpoint=checkpoint)
--- a/anvilflow/platform/tests/test_boundary.py
+++ b/anvilflow/platform/tests/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in this package, and what it translates is translated once."""
+"""Wire names of the platform occur only in the adapter, which translates each field once."""
 
 import re
 from pathlib import Path
@@ -12,7 +12,7 @@
 
 ROOT = Path(anvilflow.__file__).parent
 
-#: Names on the wire that are no everyday words, and paths of the platform's calls.
+#: Distinctive names on the wire, and paths of the platform's calls.
 WIRE_NAMES = re.compile(
     r"run-start|run-stop|/-/|rows-tx|rows-get|rows-feed|machine-upkeep|machine-move|fencing-token"
     r"|last-seen|until-ms|wait-ms|run-id|clock-ms|expected-rev|mem-mb|estimate-ms|data-rack"
@@ -22,7 +22,7 @@
 
 
 def product_files():
-    """Return the product's source files outside the adapter and without tests and stand-ins."""
+    """Return the product's source files, without the adapter, tests and stand-ins."""
     return [
         path
         for path in ROOT.rglob("*.py")
@@ -31,7 +31,7 @@
 
 
 def test_no_wire_name_outside_the_adapter():
-    """A newcomer reads one vocabulary; a change of the wire touches one folder."""
+    """The product uses one vocabulary, and a change of the wire affects only one folder."""
     found = [
         f"{path.name}: {match.group(0)}"
         for path in product_files()
@@ -41,7 +41,7 @@
 
 
 def test_the_adapter_is_under_a_tenth_of_the_product():
-    """It only translates: decisions, state and recovery are the product's."""
+    """The adapter only translates; decisions, state and recovery are outside it."""
     adapter = sum(
         len(path.read_text(encoding="utf-8").splitlines())
         for path in (ROOT / "platform").glob("*.py")
@@ -51,7 +51,7 @@
 
 
 def test_job_with_every_field():
-    """Each field of a step reaches the one that says what it holds."""
+    """Each field of a job and its steps is decoded into the corresponding field."""
     step = {
         "count": 3, "cpu": 500, "mem-mb": 256, "gpu": 1, "estimate-ms": 900, "gang": True,
         "rack-sensitive": True, "requires": "a", "data-rack": "r1-3", "anti-affinity": 2,
@@ -82,19 +82,19 @@
     ],
 )
 def test_bad_job_is_refused(body):
-    """The client hears what is wrong, as AF301."""
+    """A malformed or oversized job is refused with AF301."""
     with pytest.raises(CallError):
         decode_job("00000000000000a1", "q", body)
 
 
-def test_largest_job_text_is_taken():
-    """4,000 bytes are allowed."""
+def test_largest_job_text_is_accepted():
+    """A spec of 4,000 bytes is allowed."""
     job = decode_job("00000000000000a1", "q", encode({"spec": "x" * 4000, "steps": [{"count": 1}]}))
     assert len(job.payload) == 4000
 
 
 def test_configuration_and_worker_entries():
-    """Times come in seconds, the rack is the last label, and garbage is refused with a code."""
+    """Times are converted to seconds, the rack is the last label, malformed values are refused."""
     config = decode_config(
         encode(
             {
--- a/anvilflow/platform/tests/test_registry.py
+++ b/anvilflow/platform/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""Entries of the registry by other writers: they name no worker, and nothing breaks by them."""
+"""Registry entries of other writers are refused with AF401 and cause no other error."""
 
 import pytest
 from hypothesis import given, settings
@@ -8,7 +8,7 @@
 from anvilflow.platform import decode_worker
 from anvilflow.utils import decode_lenient, encode
 
-#: An entry as every worker writes it.
+#: Registry entry with the fields that every worker writes.
 ENTRY = {
     "service": "desk",
     "address": "10.128.0.9:8080",
@@ -29,8 +29,8 @@
 )
 
 
-def test_whole_entry_names_a_worker():
-    """All fields are there; new ones may come."""
+def test_complete_entry_describes_a_worker():
+    """All known fields are present; an unknown one is ignored."""
     info = decode_worker("i-1", encode({**ENTRY, "clock-ms": 482113}))
     assert (info.service, info.cpu_milli, info.rack, info.draining) == (
         "desk",
@@ -41,8 +41,8 @@
 
 
 @pytest.mark.parametrize("field", sorted(set(ENTRY) - {"cold-remaining-ms"}))
-def test_entry_without_a_field_names_no_worker(field):
-    """Another writer leaves a field out."""
+def test_entry_without_a_field_is_refused(field):
+    """Another writer omits a field that every worker writes."""
     entry = {key: value for key, value in ENTRY.items() if key != field}
     with pytest.raises(PlatformError) as caught:
         decode_worker("i-1", encode(entry))
@@ -74,8 +74,8 @@
         ("cold-remaining-ms", "soon"),
     ],
 )
-def test_entry_with_an_impossible_value_names_no_worker(field, value):
-    """Another writer gives a field another type, or a value that no worker has."""
+def test_entry_with_an_impossible_value_is_refused(field, value):
+    """Another writer uses another type for a field, or a value that no worker has."""
     with pytest.raises(PlatformError) as caught:
         decode_worker("i-1", encode({**ENTRY, field: value}))
     assert caught.value.code == "AF401"
