--- a/anvilflow/cell/tests/test_config.py
+++ b/anvilflow/cell/tests/test_config.py
@@ -271,7 +271,7 @@
     the feed refused for 5.5 s, a change was not in force after 3 s, and the link was full.
     """
     if not safeguard:
-        monkeypatch.setattr(_store, "_brings_rows", lambda status: True)
+        monkeypatch.setattr(_store, "_has_rows", lambda status: True)
     cell = _slow_cell()
     name = cell.other()
     cell.advance(0.2)
