--- a/anvilflow/jobs/_actions.py
+++ b/anvilflow/jobs/_actions.py
@@ -6,7 +6,9 @@
 class StartRun(Struct, kw_only=True):
     """Start a task on a worker; `payload` is UNSET where the leader does not hold it.
 
-    `ticket` is the advice service's permission to run the step there; empty where none is needed.
+    `task` is the task's name, ``JOB.OCCURRENCE.STEP.INDEX``. `checkpoint` is empty where the run
+    begins from the start. `ticket` is the advice service's permission to run the step there; empty
+    where none is needed.
     """
 
     worker_id: str
@@ -41,7 +43,7 @@
 class RequestAdvice(Struct, kw_only=True):
     """Request advice on which of the given workers may run a step.
 
-    `length_s` is the expected duration of the request. Unit: seconds.
+    `length_s` is the duration that the request is expected to take. Unit: seconds.
     """
 
     step: str
--- a/anvilflow/jobs/_job.py
+++ b/anvilflow/jobs/_job.py
@@ -37,7 +37,8 @@
     `runs` holds by worker the runs that have not been reported as ended. `avoid` holds the workers
     on which the task failed, stalled or was slow; others are preferred. `failed_runs` holds the
     numbers of the failed runs; the first task of a gang holds those of all its members.
-    `n_stalled_runs` counts the runs that were found stalled or slow.
+    `n_stalled_runs` counts the runs that were found stalled or slow. `run_id` is the highest run
+    number so far, `started_at` the time at which the first run began.
     """
 
     __slots__ = (
@@ -73,9 +74,12 @@
 class StepRun:
     """One step of one occurrence of a job.
 
-    `tickets` holds by worker the advice service's permission to run the step there and its expiry,
-    `refused` the workers that the advice service has refused. `copies` lists the tasks that need a
-    second run beside a stalled or slow one.
+    `key` is the step's name, ``JOB.OCCURRENCE.STEP``. `ready_at` is the time at which the preceding
+    steps were done, None before. `durations` holds the durations in seconds of completed runs that
+    this leader started without a checkpoint, see `_stalled_runs`. `wait_noted_at` is the time of
+    the last :class:`NoteWait`. `tickets` holds by worker the advice service's permission to run the
+    step there and its expiry, `refused` the workers that the advice service has refused. `copies`
+    lists the tasks that need a second run beside a stalled or slow one.
     """
 
     __slots__ = (
@@ -146,6 +150,14 @@
         Progress that an earlier leader made durable.
     inherited : bool, default=False
         Whether an earlier leader may have started tasks of the job.
+
+    Notes
+    -----
+    `change` counts the changes of the job's progress, `recorded_change` is its value at the latest
+    durable one, and `changed_at` the time since which a change waits to be recorded. `begun` means
+    that a task has begun, `is_idle` that plans leave the job out, `is_changed` that the job has
+    changed since its last plan. `due_by` is the target completion time. `steps` holds each
+    :class:`StepRun` by its occurrence and number.
     """
 
     __slots__ = (
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -27,15 +27,16 @@
 #: OverflowError.
 MAX_DOUBLINGS = 4
 
-#: Consecutive failures from which a worker is in back-off. Two may be the fault of a single job.
+#: Consecutive failures from which a worker is in back-off. Two may be the fault of a single job,
+#: and the first back-off is short.
 FAILURES_BEFORE_BACKOFF = 2
 
 #: Maximum number of ends in one report of a worker, as the worker contract states.
 MAX_ENDS_PER_REPORT = 500
 
 #: Time for which a run of an unknown job may continue before it is stopped: the job may have been
-#: accepted during a change of leaders, and then appears in the next read of the feed. Unit:
-#: seconds.
+#: accepted during a change of leaders, and then appears in the next read of the feed of the jobs
+#: table. Unit: seconds.
 UNKNOWN_JOB_S = 1.5
 
 
@@ -78,8 +79,8 @@
         # the store, the end of a run that is not listed may be among those not reported yet.
         is_complete = len(report.ended) < MAX_ENDS_PER_REPORT
         for run in list(worker.runs.values()) if is_complete else ():
-            answered = run.state in ("running", "barred")
-            if answered and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
+            confirmed = run.state in ("running", "barred")
+            if confirmed and run.sent_at < requested_at and (run.task, run.run_id) not in listed:
                 self._drop_run(run, now)
         self.note_survivals(worker, now)
         self._confirm_worker(worker, now)
@@ -313,7 +314,15 @@
     # Replies to calls
 
     def start_answered(self, worker_id, task, run_id, outcome, now):
-        """Process a worker's reply to a start: started, unknown, or the reason for a refusal."""
+        """Process the outcome of a start.
+
+        ``started``: the worker has begun the run. ``unknown``: no reply. All others mean that this
+        start was not carried out. ``unreached``: not sent, or connection refused. ``no payload``:
+        the store has no payload of the job. By the worker: ``old``, it has had this run number or a
+        higher one, or still has a run of the task; ``late``, the lease had expired on arrival;
+        ``room``, not enough free capacity; ``ticket``, the ticket was not accepted; ``unhealthy``,
+        a reply of HTTP status 400, 429 or 503.
+        """
         run = self._find_run(worker_id, task, run_id)
         if run is None:
             return []
--- a/anvilflow/jobs/_spec.py
+++ b/anvilflow/jobs/_spec.py
@@ -153,6 +153,8 @@
 
     Notes
     -----
+    `services` lists the configured services; those that a queue names count, too.
+
     The indexes are built once per version. With 4,200 queues, a linear search took 0.97 ms in each
     call of a client and 0.48 ms in each plan of an urgent step; an indexed lookup takes 1 us.
     """
--- a/anvilflow/jobs/_worker.py
+++ b/anvilflow/jobs/_worker.py
@@ -1,4 +1,4 @@
-"""State of one worker: its capacity, its runs and the expiry of its lease."""
+"""Workers and what they report, their runs and capacity, and the expiry of their leases."""
 
 from msgspec import Struct
 
@@ -13,7 +13,11 @@
 
 
 class WorkerInfo(Struct, kw_only=True, frozen=True):
-    """Registry entry of a worker, as the worker registers itself."""
+    """Registry entry of a worker, as the worker registers itself.
+
+    A `draining` worker gets no new tasks; `leaves_in_s` is the least time for which it still stays,
+    if it has announced one. Unit: seconds.
+    """
 
     worker_id: str
     address: str
@@ -30,7 +34,12 @@
 
 
 class RunReport(Struct, kw_only=True, frozen=True):
-    """A run that a worker lists as active; `load` is its tail latency in ms or its CPU in use."""
+    """A run that a worker lists as active.
+
+    `percent` is the progress of the task, with the work of earlier runs up to the checkpoint.
+    `load` is the run's tail latency in ms or its CPU in use. The scheduler reads only the former,
+    of runs that have a target for response times.
+    """
 
     task: str
     run_id: int
@@ -40,7 +49,12 @@
 
 
 class RunEnd(Struct, kw_only=True, frozen=True):
-    """An end that a worker lists; `how` is done, failed, stopped, lapsed, broken or alone."""
+    """An end that a worker lists, under its `number` in the order of that worker's ends.
+
+    `how` is ``done``, ``failed``, ``stopped``, ``lapsed`` (the lease expired), ``alone`` (other
+    members of the gang were missing) or ``broken``. Only ``failed`` counts as an attempt. After any
+    end but ``done``, the task waits for a new run.
+    """
 
     number: int
     task: str
@@ -58,13 +72,18 @@
 
 
 def lease_end(sent_at, lease_s):
-    """Return when a lease has certainly expired, even on a slow clock. Unit: seconds."""
+    """Return when a lease has certainly expired, even on a slow clock. Unit: seconds.
+
+    A worker ends its runs when its lease expires.
+    """
     return sent_at + lease_s * (1 + CLOCK_DRIFT) + LEASE_MARGIN_S
 
 
 class OrphanRun:
     """A run that a worker lists and no task accounts for: of an unknown job, or out of date.
 
+    `stopped` means that its stop was sent.
+
     Parameters
     ----------
     item : RunReport
@@ -108,6 +127,19 @@
 class Run:
     """One start of a task on a worker, from the decision to start it until its end is listed.
 
+    `state` is one of:
+
+    - ``recording``: the start is sent only after it is durable, see :class:`TrialTracker`;
+    - ``starting``: the start may be sent or was sent, and the worker has not confirmed it;
+    - ``running``: the worker has confirmed the start or listed the run, or the run was adopted;
+    - ``stopping``: the stop was decided, and the worker has not accepted it;
+    - ``barred``: the worker has accepted the stop, so that the run ends soon or never begins.
+
+    `sent_at` is the time of the latest command or of its confirmation: only a report that was
+    requested later shows its effect. `resumes` means that the run begins from a checkpoint. `pace`
+    is the limit set on a background task's speed, in percent of full speed; `load` is as in
+    :class:`RunReport`.
+
     `percent_clock` and `reported_clock` are the worker's times of the last progress and of the last
     report, None before the first report. `reported_at` is the leader's time of the last report,
     `first_percent` the progress with which the run began. `is_full_run` means that this leader
@@ -194,11 +226,22 @@
     -----
     A run occupies capacity from the decision to start it until its end is listed. Runs that are
     being started or stopped count too, since the worker itself may not enforce its capacity.
-
-    `runs_known` means that an earlier leader named all runs that may be active on a worker that has
-    not answered this leader. `in_handover` means that the leader's row names the worker and its
-    runs, see `_handover`. `connection_refused` means that the connection of the last call was
-    refused.
+    `cpu_free`, `memory_free` and `gpu_free` are what the runs leave. `runs` holds the runs by task
+    name, `orphan_runs` each :class:`OrphanRun` by task name and run number.
+
+    `confirmed` means that the worker has responded to this leader, `listed` that it is in the
+    registry, `unreachable` that calls to it fail, since `unreachable_since`. `connection_refused`
+    means that the connection of the last call was refused. `runs_known` means that an earlier
+    leader named all runs that may be active on a worker that has not responded to this leader.
+    `in_handover` means that the leader's row names the worker, see `_handover`; the
+    worker then gets no new tasks.
+
+    `lease_over_at` is the time at which all its leases have certainly expired, `leaves_at` the
+    earliest time at which a draining worker may leave, `retry_at` the end of its back-off.
+    `n_consecutive_failures` counts failed and stalled runs and refused starts since the last
+    success. `last_ended` is the number of the last end that was processed; `ack_queue` holds each
+    :class:`PendingEnd`. `slowness` is the ratio of actual to estimated durations of its recent
+    runs, see `_stalled_runs`.
     """
 
     __slots__ = (
--- a/anvilflow/jobs/_worker_tracker.py
+++ b/anvilflow/jobs/_worker_tracker.py
@@ -17,19 +17,27 @@
     Parameters
     ----------
     term : int
+        Number of leaders so far, including this one.
     lease_s, stop_s, now : float
         Duration of the leases, maximum time that a stop takes, and when this leader took over.
         Unit: seconds.
     grace_period : GracePeriod, default=None
-        Wait for the commands and leases of earlier leaders; None: derived from the term alone.
+        Tracks when the commands and leases of earlier leaders have expired. None: derived from the
+        term alone.
 
     Notes
     -----
+    `jobs` holds each :class:`JobRun` by job id, `ended` the states of ended jobs whose end is
+    durable, `workers` each :class:`Worker` by worker id. `registry_version` is the version up to
+    which the leader has read the registry. `nameless` are the keys of the registry entries that
+    name no worker; if an entry becomes a worker's, its key is the worker id.
+
     `freed` are the workers whose free capacity has grown since the last plan. `needs_full_plan`
     means that a change may affect any step, `last_full_plan_at` is the time of the last plan of all
     steps. `advice_in_flight` holds the advice requests in flight, by step, `deferred_advice_steps`
     the steps that wait to request advice, `last_worker_in_request` the worker after which the next
-    request begins. `nameless` are the registry entries that name no worker.
+    request begins. `pace_changed_at` is, by worker, the last time at which the pace of its
+    background tasks changed or could not be raised, see `_pacing`.
     """
 
     def __init__(self, *, term, lease_s, stop_s, now, grace_period=None):
@@ -61,6 +69,9 @@
             worker = Worker(info=info, lease_over_at=self._unconfirmed_lease_over_at())
             self.workers[info.worker_id] = worker
             self.grace_period.worker_found(info.worker_id)
+            # The leader's row may still list the entry as nameless. If the entry were removed, the
+            # next leader would not count this worker as missing. Therefore, the worker gets no new
+            # tasks until a row without the entry is durable.
             worker.in_handover = info.worker_id in self.nameless
             self.nameless.discard(info.worker_id)
         worker.update_info(info)
@@ -80,7 +91,7 @@
                 worker.lease_over_at = self.grace_period.leases_over_at
 
     def _confirm_worker(self, worker, now):
-        """Note that a worker has answered this leader, and so refuses every earlier leader."""
+        """Note that a worker has responded to this leader, and so refuses earlier leaders."""
         if worker.confirmed:
             return
         worker.confirmed = True
@@ -98,7 +109,7 @@
             worker.listed = False
 
     def worker_unreachable(self, worker_id, now, *, connection_refused=False):
-        """Note that calls to a worker fail: it gets no new tasks until it answers."""
+        """Note that calls to a worker fail: it gets no new tasks until it responds."""
         worker = self.workers.get(worker_id)
         if worker is None:
             return
@@ -108,7 +119,10 @@
             worker.unreachable_since = now
 
     def note_handover(self, worker_ids):
-        """Note which workers the leader's row names, now that the row is durable."""
+        """Note which workers the leader's row names, now that the row is durable.
+
+        `worker_ids` includes the keys of the `nameless` entries.
+        """
         for worker_id, worker in self.workers.items():
             if worker.in_handover and worker_id not in worker_ids:
                 self.needs_full_plan = True
