--- a/anvilflow/jobs/_advice.py
+++ b/anvilflow/jobs/_advice.py
@@ -129,7 +129,7 @@
 
 
 def _choose_workers(scheduler, step, now, duration_s):
-    """Return the ids of the workers to ask about: as many as the tasks without a place need.
+    """Return the ids of the workers to ask about: as many as the unplaced tasks need.
 
     Workers with free capacity come first, beginning after the last worker of the previous request.
     In a cell of 270 workers that were named in a fixed order, all steps asked about the same 100
--- a/anvilflow/jobs/_crash_history.py
+++ b/anvilflow/jobs/_crash_history.py
@@ -157,7 +157,7 @@
         return min(MAX_CLEARED_S, cleared_s)
 
     def may_start(self, now):
-        """Whether the task may be started again at this time."""
+        """Whether the task may be started again now; not while a recorded start may be active."""
         losses = self.losses
         if len(losses) >= MAX_LOST_WORKERS or len(losses) < len(self.lost_runs):
             return False
--- a/anvilflow/jobs/_crash_tracker.py
+++ b/anvilflow/jobs/_crash_tracker.py
@@ -24,6 +24,7 @@
 
     def __init__(self, **values):
         super().__init__(**values)
+        # By worker: when it was lost, and whether a trial run was active there.
         self._lost_workers = {}
 
     # Lost workers
@@ -68,7 +69,7 @@
     def adopt_unconfirmed_runs(self, worker_id, runs, now):
         """Adopt the runs that an earlier leader listed on a worker that it could not reach.
 
-        Their tasks stay assigned to the worker until it answers or its lease has certainly
+        Their tasks stay assigned to the worker until it responds or its lease has certainly
         expired. All other tasks need not wait for the worker.
         """
         worker = self.workers[worker_id]
@@ -97,9 +98,10 @@
     def drop_lapsed_runs(self, now):
         """Drop the runs of unreachable workers whose leases have certainly expired.
 
-        The workers are kept until their sessions end, see `worker_ended`. The reports of a worker
-        that answers again must be processed: otherwise runs that it still begins would continue
-        under renewed leases without being tracked.
+        The workers themselves are kept until the leader calls `worker_ended`: when another
+        incarnation answers, or when the registry entry remains absent. Until then, the reports of a
+        worker that responds again must be processed: otherwise runs that it still begins would
+        continue under renewed leases without being tracked.
         """
         if self.grace_period.give_up_waiting(now):
             self._bound_unconfirmed_leases()
@@ -216,6 +218,10 @@
         return actions + self._fail_crashing_jobs(now)
 
     def _review_loss(self, suspect, lost, by_address, now):
+        """Update one entry of a suspect's history by what its worker has become.
+
+        The entry is removed if the worker has responded and the run is not active there.
+        """
         worker = self.workers.get(lost.worker_id)
         if worker is None:
             if lost.fate is not LossOutcome.CRASHED and lost.address in by_address:
--- a/anvilflow/jobs/_evacuation.py
+++ b/anvilflow/jobs/_evacuation.py
@@ -36,10 +36,10 @@
         return remaining_s < MOVE_S
     if step.gang or step.estimate_s <= 0:
         return False
-    return _time_to_end(run, now) > remaining_s - END_MARGIN_S
+    return _remaining_time(run, now) > remaining_s - END_MARGIN_S
 
 
-def _time_to_end(run, now):
+def _remaining_time(run, now):
     """Return the run's remaining time, by its progress from 5 percent on, before by its estimate.
 
     Unit: seconds.
--- a/anvilflow/jobs/_grace_period.py
+++ b/anvilflow/jobs/_grace_period.py
@@ -2,13 +2,15 @@
 
 from ._worker import lease_end
 
-#: Time for which a leader may send commands after its leadership was last confirmed: by a write
-#: that is fenced by its row, or by more than half of its workers, which accepted its token. Leases
-#: are renewed every half second, twice as often while the store is unavailable. Unit: seconds.
+#: Time for which a leader may send commands after its leadership was last confirmed: by a write to
+#: the store, which fails once another instance has claimed the leader's row, or by more than half
+#: of its workers, which accepted its token. A token is a number that each claim raises; workers
+#: refuse commands with a lower one than they have seen. Leases are renewed every half second, twice
+#: as often while the store is unavailable. Unit: seconds.
 COMMAND_S = 0.7
 
-#: Time after which a leader stops waiting for answers from more than half of the workers: workers
-#: that are permanently lost must not block it forever. Unit: seconds.
+#: Time after which a leader stops waiting until more than half of the workers have responded:
+#: workers that are permanently lost must not block it forever. Unit: seconds.
 MAX_CONFIRMATION_WAIT_S = 15.0
 
 
@@ -32,10 +34,14 @@
     Notes
     -----
     A former leader that is running but partitioned continues to send commands for
-    :data:`COMMAND_S` after its leadership was last confirmed. Two leaders cannot both get answers
-    from more than half of the workers: a worker that accepted the new token refuses the old one. So
-    `COMMAND_S` after this leader has answers from that many workers, former leaders send no more
-    commands, and one lease later none of their leases is in force.
+    :data:`COMMAND_S` after its leadership was last confirmed. Two leaders cannot both receive
+    responses from more than half of the workers: a worker that accepted the new token refuses the
+    old one. So `COMMAND_S` after that many workers have responded to this leader, former leaders
+    send no more commands, and one lease later none of their leases is in force.
+
+    `commands_expired_at` and `leases_over_at` are these two times, None until they are known.
+    `commands_expired_version` is the version of the leader's row after the first write that was
+    sent when the commands had expired.
     """
 
     def __init__(self, *, term, lease_s, now, n_workers=0, missing=frozenset(), is_known=True):
@@ -47,6 +53,7 @@
         self.commands_expired_at = None
         self.leases_over_at = None
         self.commands_expired_version = None
+        # Without an earlier leader, both times are already past.
         if term == 1:
             self._set_expiry(now - COMMAND_S - lease_end(0.0, lease_s))
             self.commands_expired_version = 0
@@ -56,7 +63,7 @@
         self.missing.discard(worker_id)
 
     def workers_confirmed(self, n_confirmed, n_workers, now):
-        """Note how many workers have answered; return whether this bounds the earlier leases."""
+        """Note how many workers have responded; return whether this bounds earlier leases."""
         n_all = max(self.n_workers, n_workers + len(self.missing))
         if self.leases_over_at is None and 2 * n_confirmed > n_all:
             self._set_expiry(now)
@@ -64,7 +71,7 @@
         return False
 
     def give_up_waiting(self, now):
-        """Stop waiting for answers after the maximum wait; return whether this call did so."""
+        """Stop waiting for workers after the maximum wait; return whether this call did so."""
         if self.leases_over_at is None and now >= self.began_at + MAX_CONFIRMATION_WAIT_S:
             self._set_expiry(now)
             return True
--- a/anvilflow/jobs/_handover.py
+++ b/anvilflow/jobs/_handover.py
@@ -57,8 +57,8 @@
 def _is_unlisted(worker):
     """Whether the next leader would not find the worker in the registry.
 
-    This includes a worker that has not answered this leader. It is known only from the former
-    leader's row: if it were left out, the next leader would start its tasks again while they still
+    The worker may not have responded to this leader either, and is then known only from the former
+    leader's row. If it were left out, the next leader would start its tasks again while they still
     run.
     """
     return not worker.listed
@@ -76,6 +76,11 @@
 
 
 def _is_unreachable(worker, now):
+    """Whether the next leader must be given the worker's runs, as it may not reach the worker.
+
+    Of the workers that have not responded to this leader, only those are included whose runs the
+    former leader listed. The runs of the others are not known.
+    """
     if not worker.confirmed:
         return worker.runs_known
     return worker.unreachable and now - worker.unreachable_since >= UNREACHABLE_S
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -213,6 +213,7 @@
     for group in [*racks, workers]:
         chosen = _fit_gang(step, waiting, group)
         if chosen:
+            # All members get the same run number, so that a failure of the gang counts once.
             run_id = max(task.run_id for task in waiting)
             checkpoint = next((task.checkpoint for task in waiting if task.checkpoint), "")
             for task in waiting:
@@ -236,18 +237,19 @@
 def _fit_gang(step, waiting, workers):
     """Return a worker for each task of the gang, or None when the tasks do not all fit."""
     spec = step.spec
-    slots = []
+    places = []
     for worker in workers:
-        n_slots = _n_fitting(worker, spec)
+        n_places = _n_fitting(worker, spec)
         if spec.max_per_worker:
-            n_slots = min(n_slots, spec.max_per_worker)
-        slots += [worker] * n_slots
-        if len(slots) >= len(waiting):
-            return slots[: len(waiting)]
+            n_places = min(n_places, spec.max_per_worker)
+        places += [worker] * n_places
+        if len(places) >= len(waiting):
+            return places[: len(waiting)]
     return None
 
 
 def _n_fitting(worker, spec):
+    """Return the number of tasks of a step that fit on a worker together."""
     limits = [worker.memory_free // spec.memory_mb if spec.memory_mb else spec.n_tasks]
     if spec.cpu_milli and not spec.fills:
         limits.append(worker.cpu_free // spec.cpu_milli)
--- a/anvilflow/jobs/_policy.py
+++ b/anvilflow/jobs/_policy.py
@@ -51,11 +51,11 @@
         the duration of the request. Estimates of the running steps are off by a fifth and more.
         Unit: seconds.
     asks_by_need : bool, default=True
-        Whether an advice request names only as many workers as the tasks that are not placed yet
-        need, those with free capacity first. Otherwise, it names the first hundred workers.
+        Whether an advice request names only as many workers as the unplaced tasks need, those with
+        free capacity first. Otherwise, it names the first hundred workers.
     ask_times, ask_more : float, default=1.5 and 3
-        Number of task places that an advice request should find: `ask_times` times the tasks that
-        are not placed yet, plus `ask_more`. A second request takes as long as naming 70 more
+        Number of task places that an advice request should find: `ask_times` times the number of
+        unplaced tasks, plus `ask_more`. A second request takes as long as naming 70 more
         workers in the first, so that a few too many are cheap.
     long_ask_share : float, default=0.6
         Share of the instances that may make long advice requests at the same time. Without this
--- a/anvilflow/jobs/_reservations.py
+++ b/anvilflow/jobs/_reservations.py
@@ -40,7 +40,7 @@
         A less urgent task may start if it leaves the reserved capacity free, or if it will have
         ended before that capacity becomes available. When reserved workers took no less urgent
         tasks at all, accelerators were idle: in a test load of large and small jobs, at 1.3 times
-        the usual rate, callers of small jobs received 0.897 of the value of their jobs, and 0.960
+        the usual rate, clients with small jobs received 0.897 of the value of their jobs, and 0.960
         with this rule.
         """
         if not self.is_reserved_from(worker, step.job.queue):
--- a/anvilflow/jobs/_trial_tracker.py
+++ b/anvilflow/jobs/_trial_tracker.py
@@ -12,7 +12,10 @@
 
 
 class Suspect(Struct, kw_only=True, frozen=True):
-    """A task that ran, or may have run, on lost workers."""
+    """A task that ran, or may have run, on lost workers, or whose start is recorded.
+
+    The task is a possible cause of the losses only if :attr:`CrashHistory.is_suspect` is set.
+    """
 
     step: object
     task: object
@@ -55,12 +58,14 @@
 
     Notes
     -----
-    `suspects` are the tasks that were running on lost workers, by name. `trials` holds the task
-    names of the trial runs by worker; no task of another job is started on these workers. Once a
-    loss counts against a task, its next start is made durable before it is sent, so that a new
-    leader can count a crash that coincides with the failure of the previous leader.
+    `suspects` holds each :class:`Suspect` by task name. `trials` holds the task names of the trial
+    runs by worker; no task of another job is started on these workers. Once a loss counts against a
+    task, its next start is made durable before it is sent, so that a new leader can count a crash
+    that coincides with the failure of the previous leader.
+
     `is_store_unavailable` means that nothing can be recorded; `wall_offset_s` is the time of day
-    minus the monotonic time.
+    minus the steady time. `_has_lost_unconfirmed_worker` means that a worker was lost that never
+    responded to this leader, so that its runs are unknown.
     """
 
     def __init__(self, **values):
@@ -200,7 +205,8 @@
         """Whether a start must be durable before it is sent.
 
         This includes tasks that an earlier leader may have started on a worker that has never
-        answered this leader.
+        responded to this leader. If such a task crashed that worker, this leader cannot count the
+        loss. Without the record, the next leader could not count a second one either.
         """
         history = task.crash_history
         if history is not None and (history.must_be_recorded or history.unrecorded_change):
@@ -210,6 +216,7 @@
         return may_have_begun and self._may_miss_runs()
 
     def _may_miss_runs(self):
+        """Whether an earlier leader may have started runs on a worker that never responded."""
         return (
             self._has_lost_unconfirmed_worker
             or not self.grace_period.all_workers_known
@@ -283,13 +290,13 @@
     def _release_starts(self, held, now):
         """Return the recorded starts that may be sent; a gang starts completely or not at all."""
         runs = self._held_runs(held)
-        is_whole = len(runs) == len(held.starts) and all(
+        gang_may_start = len(runs) == len(held.starts) and all(
             run.worker.accepts(now) and not run.worker.is_over_capacity(run.step) for run in runs
         )
         actions = []
         for start, run in zip(held.starts, runs, strict=False):
-            may_go = run.worker.accepts(now) and not run.worker.is_over_capacity(run.step)
-            if is_whole if run.step.gang else may_go:
+            may_start = run.worker.accepts(now) and not run.worker.is_over_capacity(run.step)
+            if gang_may_start if run.step.gang else may_start:
                 run.state = "starting"
                 run.sent_at = run.began_at = now
                 actions.append(start)
