--- a/anvilflow/cell/_fleet.py
+++ b/anvilflow/cell/_fleet.py
@@ -14,10 +14,11 @@
 #: restarted. Unit: seconds.
 LEASE_S = 3.0
 
-#: Longest wait of a lease renewal while the leader is short of processor. Lease renewals, with and
-#: without new ends, were some 1,090 of the leader's 2,012 calls in a profile of ten seconds; longer
-#: waits make them fewer. Two such waits plus the lag stay within a lease. Unit: seconds.
-SHORT_RENEWAL_WAIT_S = 1.0
+#: Time for which a worker may delay its answer to a lease renewal while the leader is short of
+#: processor. Lease renewals, with and without new ends, were some 1,090 of the leader's 2,012 calls
+#: in a profile of ten seconds; a longer delay makes them fewer. Two such delays plus the lag stay
+#: within a lease. Unit: seconds.
+LOW_CPU_RENEWAL_WAIT_S = 1.0
 
 #: Time within which a worker's missing registry entry may reappear before the worker is removed,
 #: for example after an outage of the store in which the entry expired. Unit: seconds.
@@ -33,7 +34,7 @@
 
 #: Share of calls to workers without an answer in time from which the answers of all workers count
 #: as late, and the weight of the newest call in this moving average. The weight is small so that
-#: one lost worker with several starts under way does not reach the share.
+#: one lost worker with several starts in flight does not reach the share.
 LATE_CALL_SHARE = 0.5
 LATE_CALL_WEIGHT = 1 / 32
 
@@ -132,12 +133,12 @@
     def renewal_wait(self):
         """Return how long a worker may delay its answer to a lease renewal. Unit: seconds.
 
-        The wait is shorter while only workers can confirm the leader, and longer while the leader
+        The delay is shorter while only workers can confirm the leader, and longer while the leader
         is short of processor.
         """
         if not self.is_confirmed():
             return RENEWAL_WAIT_S / 2
-        return SHORT_RENEWAL_WAIT_S if self.context.lag.is_short_of_cpu else RENEWAL_WAIT_S
+        return LOW_CPU_RENEWAL_WAIT_S if self.context.lag.is_short_of_cpu else RENEWAL_WAIT_S
 
     # Commands
 
@@ -150,7 +151,7 @@
         self.starts.send_due()
 
     def n_free_start_slots(self):
-        """Return how many more starts may be queued: as many wait as may be under way."""
+        """Return how many more starts may be queued: at most as many as may be in flight."""
         return self.starts.n_free
 
     def _send_start(self, action, waited_s):
@@ -171,7 +172,7 @@
         session.start(action).addErrback(self.events.fail_with)
 
     def _drop_start(self, action):
-        """Report a start that was never sent to the scheduler: its run does not exist."""
+        """Report to the scheduler that a start was never sent: its run does not exist."""
         self.context.meters.count("starts", "withdrawn")
         self.scheduler.start_answered(
             action.worker_id, action.task, action.run_id, "unreached", self._now()
@@ -192,7 +193,7 @@
             session.stop(action).addErrback(self.events.fail_with)
 
     def set_pace(self, action):
-        """Change the pace of a run."""
+        """Change the pace of a run: the limit on its speed, in percent of the full speed."""
         self.log.info("pace", task=action.task, worker=action.worker_id, percent=action.percent)
         session = self._sessions.get(action.worker_id)
         if session is not None:
@@ -239,7 +240,7 @@
     # Workers
 
     def take_registry_entry(self, row):
-        """Process a row of the registry: a worker is new, has changed its entry, or is removed."""
+        """Process a row of the registry: an entry of a worker is new, changed or removed."""
         if row.value is None:
             self.registry_entry_removed(row.key)
             return
@@ -355,7 +356,7 @@
                     how=end.how,
                     number=end.number,
                 )
-        is_news = bool(report.ended) or worker.unreachable or not worker.confirmed
+        has_changes = bool(report.ended) or worker.unreachable or not worker.confirmed
         n_runs = len(worker.runs)
         self.events.act(
             self.scheduler.report(worker_id, report, requested_at=requested_at, now=self._now())
@@ -363,11 +364,14 @@
         if report.ended:
             self.events.ends_reported()
         # Without this check, half of all plans followed reports that changed nothing.
-        if is_news or len(worker.runs) != n_runs:
+        if has_changes or len(worker.runs) != n_runs:
             self.events.changed()
 
     def worker_failed(self, worker_id, exc):
-        """Process a lease renewal that failed: mark the worker unreachable, or remove it."""
+        """Process a failed lease renewal: mark the worker unreachable if it is not only late.
+
+        A worker without a registry entry is removed after the grace period, once its lease is over.
+        """
         worker = self.scheduler.workers.get(worker_id)
         connection_refused = (exc.details or {}).get("nobody_listens", False)
         if not connection_refused and self._is_only_late(worker_id):
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -6,8 +6,8 @@
 from ..decisions import LeaseClock, RoundTrip
 from ..exceptions import WorkerGoneError, WorkerRefusedError, WorkerUnreachableError
 
-#: Longest time for which a worker may delay its answer to a lease renewal. It bounds the time
-#: between two renewals. Unit: seconds.
+#: Time for which a worker may delay its answer to a lease renewal, unless the leader is short of
+#: processor. It bounds the time between two renewals. Unit: seconds.
 RENEWAL_WAIT_S = 0.5
 
 #: Longest wait until reported ends are recorded before the next lease renewal is sent: during an
@@ -16,9 +16,10 @@
 
 #: Minimum timeouts of a start, one for each try. Sending the same start again is safe: a worker
 #: that already has the run reports it. Retries replace a lost start before the other members of a
-#: gang give up. Workers answer in some 3 ms, and a leader's processor may stall for 0.1 s.
-#: The first timeout is short: where 6 of 100 commands have no answer, two of three lookups of ten
-#: tasks lose one, and with a timeout of 0.3 s each of them was delayed by that. Unit: seconds.
+#: gang stop waiting for it. Workers answer in some 3 ms, and a leader's processor may stall for
+#: 0.1 s.
+#: The first timeout is short: where 6 of 100 commands have no answer, two of three lookups (short
+#: jobs) of ten tasks lose one, and each was delayed by a timeout of 0.3 s. Unit: seconds.
 START_TIMEOUTS_S = (0.12, 0.3, 0.3, 0.5)
 
 #: Delay before a failed call to a worker is retried. The delay of stops doubles up to the maximum,
--- a/anvilflow/cell/_start_queue.py
+++ b/anvilflow/cell/_start_queue.py
@@ -55,7 +55,7 @@
         self._sequence = count()
         self._groups = {}
         self._n_waiting = 0
-        self._under_way = set()
+        self._in_flight = set()
         self._is_sending = False
         self._sent_at = deque()
 
@@ -108,8 +108,8 @@
         The answer to a late start no longer shows the state of the link.
         """
         key = (action.task, action.run_id)
-        if key in self._under_way:
-            self._under_way.remove(key)
+        if key in self._in_flight:
+            self._in_flight.remove(key)
             self.window.n_in_flight -= 1
             self.send_due()
 
@@ -142,7 +142,7 @@
             if not may_send:
                 self._drop(start)
                 continue
-            self._under_way.add((start.task, start.run_id))
+            self._in_flight.add((start.task, start.run_id))
             self.window.n_in_flight += 1
             self._sent_at.append(now)
             self._send(start, now - group.added_at)
