--- a/anvilflow/cell/_config.py
+++ b/anvilflow/cell/_config.py
@@ -1,4 +1,7 @@
-"""The operator's configuration, read from the store's feed and on hints of the leader."""
+"""The operator's configuration, read from the store's feed of changes.
+
+It is also read when the leader's heartbeat names a newer version (a hint).
+"""
 
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -136,9 +136,9 @@
     def refused(self, verb, path, status, error):
         """Log a refused call with the version and age of the configuration it was checked against.
 
-        The answer itself does not show this: a client cannot distinguish a queue that this instance
-        does not know yet from one whose jobs cannot be read at present, nor see how old the
-        configuration of the instance is.
+        The answer itself does not show this: a client cannot distinguish a queue that is not yet in
+        this instance's configuration from one whose jobs cannot be read at present, nor see how old
+        that configuration is.
         """
         if status not in _LOGGED_REFUSALS:
             return
@@ -171,8 +171,8 @@
         UnknownOutcomeError
             AF305: the job may or may not have been accepted.
         """
-        # With relays the leader sends no starts itself and need not hold the payload: the gateway
-        # keeps it.
+        # With relays the leader sends no starts itself and need not keep the payload: the gateway
+        # caches it.
         gateway = self.context.name if self.context.uses_relays else ""
         value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
--- a/anvilflow/cell/_job_store.py
+++ b/anvilflow/cell/_job_store.py
@@ -40,6 +40,7 @@
 MIN_READ_BACK_INTERVAL_S = 0.3
 READ_BACK_TIMEOUT_S = 0.6
 
+#: Tolerance when the current time is compared with a deadline. Unit: seconds.
 _CLOCK_TOLERANCE_S = 1e-4
 
 
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -2,7 +2,7 @@
 
 from ..peers.gen.ttypes import HomeBeat
 from ._leader_eligibility import should_yield
-from ._pending_jobs import PENDING_HEARTBEAT_S
+from ._pending_jobs import PENDING_REPORT_PERIOD_S
 
 #: Least time for which an instance leads before it yields to one with more CPU capacity: the extra
 #: load of taking over has passed by then. Unit: seconds.
@@ -74,7 +74,7 @@
         is_leader = self.context.leader is self.leader or self.leader.is_loading
         if not is_leader or self.context.links is None:
             return
-        is_due = self.context.clock.seconds() >= self._full_heartbeat_at + PENDING_HEARTBEAT_S
+        is_due = self.context.clock.seconds() >= self._full_heartbeat_at + PENDING_REPORT_PERIOD_S
         heartbeat = (
             self.full_heartbeat() if is_due and not self.leader.is_loading else self.heartbeat()
         )
--- a/anvilflow/cell/_payload_cache.py
+++ b/anvilflow/cell/_payload_cache.py
@@ -9,7 +9,7 @@
 from ..utils import decode
 from ._tables import JOBS, PAYLOADS, JobRow, has_payload, job_part
 
-#: Most payloads kept in memory, of up to 4 kB each; others are read from the store again.
+#: Number of payloads kept in memory, of up to 4 kB each; others are read from the store again.
 MAX_PAYLOADS = 2000
 
 
--- a/anvilflow/cell/_pending_jobs.py
+++ b/anvilflow/cell/_pending_jobs.py
@@ -12,10 +12,10 @@
 
 #: Period in which the leader reports the counts. Reports are sent with heartbeats, so that two of
 #: them are at most 0.6 s apart. Unit: seconds.
-PENDING_HEARTBEAT_S = 0.4
+PENDING_REPORT_PERIOD_S = 0.4
 
 #: Age up to which a count is used for an answer. Together with the period above, a count that a
-#: client receives is less than the guaranteed two seconds old. Unit: seconds.
+#: client receives is less than two seconds old, as clients are guaranteed. Unit: seconds.
 MAX_AGE_S = 1.3
 
 #: Time without a leader's report after which the counts are no longer used. A leader that this
--- a/anvilflow/cell/_relay.py
+++ b/anvilflow/cell/_relay.py
@@ -23,7 +23,7 @@
 #: which the leader is short. Unit: seconds.
 ANSWER_BATCH_S = 0.01
 
-#: Most workers for which a client is cached; the least recently used ones are evicted.
+#: Number of workers for which a client is cached; the least recently used ones are evicted.
 MAX_CACHED_WORKERS = 4_096
 
 
@@ -39,10 +39,10 @@
 
     Notes
     -----
-    A command that has waited for longer than its time limit is not sent: the leader has given it
-    up, and a late start would run after the leader has acted on the missing answer. Nor is a
-    command of a former leader sent, if this instance has seen the successor's token; otherwise the
-    worker's fence refuses it.
+    A command that has waited for longer than its time limit is not sent: the leader no longer
+    expects an answer, and a late start would run after the leader has acted on the missing answer.
+    Nor is a command of a former leader sent, if this instance has seen the successor's token;
+    otherwise the worker's fence refuses it.
     """
 
     prefix = "carrier"
--- a/anvilflow/cell/_relay_dispatcher.py
+++ b/anvilflow/cell/_relay_dispatcher.py
@@ -42,7 +42,7 @@
     Notes
     -----
     Relays make no decisions. The leader controls tokens, leases, timeouts, retries and the number
-    of starts under way. A command without an answer from the relay is treated like a call to a
+    of starts in flight. A command without an answer from the relay is treated like a call to a
     worker without an answer.
     """
 
@@ -73,13 +73,13 @@
         return self.context.clock.seconds() < self._busy_until
 
     def measure(self):
-        """Measure the use of the link; relay commands for a while if the link is busy."""
+        """Measure the link utilization; relay commands for a while if the link is busy."""
         now = self.context.clock.seconds()
-        use = self.context.link_utilization
-        use.measure(now)
-        if use.share >= BUSY_LINK_SHARE:
+        utilization = self.context.link_utilization
+        utilization.measure(now)
+        if utilization.share >= BUSY_LINK_SHARE:
             if not self.relays_in_use:
-                self.log.info("orders are carried", link_share=round(use.share, 2))
+                self.log.info("orders are carried", link_share=round(utilization.share, 2))
             self._busy_until = now + MIN_RELAYED_S
 
     # Assignment of commands to relays
@@ -114,8 +114,8 @@
             return ()
         now = self.context.clock.seconds()
         peers = self.context.links.peers
-        is_known = now < self._names_until and len(peers) == self._n_peers
-        if is_known and (self._names or not peers):
+        is_cached = now < self._names_until and len(peers) == self._n_peers
+        if is_cached and (self._names or not peers):
             return self._names
         self._names_until, self._n_peers = now + RELAY_LIST_TTL_S, len(peers)
         names = tuple(
--- a/anvilflow/cell/_settings.py
+++ b/anvilflow/cell/_settings.py
@@ -12,8 +12,8 @@
 #: The only supported way in which workers receive commands: each command is a call to the worker.
 COMMANDS_BY_CALL = "invocation"
 
-#: Processor of an instance whose settings do not give it: among the candidates for the leader, such
-#: an instance comes neither first nor last. Unit: thousandths of a core.
+#: Processor of an instance whose settings do not give it: such an instance ranks neither first nor
+#: last among the candidates for leader. Unit: thousandths of a core.
 DEFAULT_CPU_MILLI = 1000
 
 
--- a/anvilflow/cell/_start_delays.py
+++ b/anvilflow/cell/_start_delays.py
@@ -23,8 +23,11 @@
         self._updated_at = self.clock.seconds()
 
     def wait_s(self, priority):
-        """Return the expected start delay of a new job in a queue of `priority`. Unit: seconds."""
+        """Return the expected start delay of a new job in a queue of `priority`. Unit: seconds.
+
+        That is the longest delay reported for queues of the same or a lower priority number.
+        """
         if self.clock.seconds() - self._updated_at > MAX_REPORT_AGE_S:
             return 0.0
-        ahead = [wait for other, wait in self._by_priority.items() if other <= priority]
+        ahead = [delay for other, delay in self._by_priority.items() if other <= priority]
         return max(ahead, default=0.0)
--- a/anvilflow/cell/_worker_call_router.py
+++ b/anvilflow/cell/_worker_call_router.py
@@ -19,7 +19,7 @@
     report_from_answer,
 )
 
-#: Relays that are tried for a command before the leader makes the call itself.
+#: Number of relays that are tried for a command before the leader makes the call itself.
 MAX_RELAYS = 2
 
 #: Values of the metric label `route`.
@@ -40,8 +40,8 @@
     convert : callable
         Returns the call's result from a :class:`WorkerAnswer`.
     limit_s, held_s : float
-        Timeout of the worker's answer, beyond the time for which the worker may delay it, and that
-        time. Unit: seconds.
+        `held_s` is the time for which the worker may delay its answer, `limit_s` the timeout beyond
+        that time. Unit: seconds.
     values : dict
         Fields of the :class:`WorkerOrder`.
     n_left : int
