--- a/anvilflow/cell/_context.py
+++ b/anvilflow/cell/_context.py
@@ -118,8 +118,8 @@
             clock=clock, on_recovery=lambda away_s: bus.post(StoreRecovered(away_s=away_s))
         )
         self.lag = LagMeter(period=LAG_PERIOD_S)
-        self.waiting = PendingJobs(context=self)
-        self.start_waits = StartDelays(clock=clock)
+        self.pending_job_counts = PendingJobs(context=self)
+        self.start_delays = StartDelays(clock=clock)
         self.payloads = PayloadCache(context=self)
         self.link_utilization = LinkUtilization(
             settings=lambda: self.settings, count=self._count_bytes
--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -225,7 +225,7 @@
         already, or whose row cannot be read, is not refused: the refusal states that the job was
         not accepted, which might not be true.
         """
-        wait_s = self.context.start_waits.wait_s(queue.priority)
+        wait_s = self.context.start_delays.wait_s(queue.priority)
         if wait_s <= _objective_s(spec, queue) or self.context.store_health.is_failing:
             return
         try:
@@ -352,7 +352,7 @@
         A queue that the configuration lists is served with or without a leader: to clients, the
         loss of the leader must not look like an unknown queue.
         """
-        pending_jobs = self.context.waiting
+        pending_jobs = self.context.pending_job_counts
         if self.context.leader is not None or not pending_jobs.is_known:
             n_jobs = yield self._pending_at_leader(queue)
             if n_jobs is not None:
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -50,8 +50,8 @@
 #: another instance to take over. Unit: seconds.
 MAX_STORE_OUTAGE_S = 0.1
 
-#: Time for which every plan must have deferred starts before the leader reports to the gateways how
-#: long new jobs wait. A burst that ends sooner makes no job late. Unit: seconds.
+#: Time for which every plan must have deferred starts before the leader reports start delays to the
+#: gateways. A burst that ends sooner makes no job late. Unit: seconds.
 DEFERRED_S = 1.0
 
 #: Delay before a leader that failed to read its tables reads them again. Unit: seconds.
@@ -95,9 +95,9 @@
     def stop(self):
         """Stop acting as the leader.
 
-        A part that is restarted after a fault does not know that it was the leader. The event
-        posted here makes this instance look for the leader again; without it the instance would
-        wait for itself forever.
+        A part that is restarted after a fault has lost the state of its leadership. The event
+        posted here makes this instance search for the leader again; without it the instance would
+        wait for itself as the leader forever.
         """
         was_leader = self._claimed is not None
         self._end()
@@ -281,7 +281,7 @@
     # Reports to the other instances
 
     def measure_load(self):
-        """Check whether the leader is short of link or processor, and so uses relays."""
+        """Measure the leader's load: while short of link or processor, the leader uses relays."""
         if self._relay_dispatcher is not None:
             self._relay_dispatcher.measure()
             self.context.uses_relays = self._relay_dispatcher.relays_in_use
@@ -290,12 +290,12 @@
         """Return the full heartbeat: the leader's state, pending jobs and start delays."""
         return self._leader_heartbeat.full_heartbeat()
 
-    def waiting(self):
-        """Return the counts of pending jobs, for the other instances."""
+    def pending_counts(self):
+        """Return the counts of pending jobs by queue, for the other instances."""
         return PendingCounts(counts=self._scheduler.n_waiting(), version=self._intake.version)
 
-    def start_waits(self):
-        """Return how long the tasks of a new job wait to be sent, by priority. Unit: seconds."""
+    def start_delays(self):
+        """Return the expected start delays of new jobs by queue priority. Unit: seconds."""
         scheduler = self._scheduler
         if scheduler.starts_deferred_s(self.now) < DEFERRED_S:
             return {}
@@ -319,9 +319,9 @@
     def is_loading(self):
         """Whether this instance has claimed and is still reading the stored state.
 
-        It sends heartbeats meanwhile: a leader on a slow link that sent none while it loaded was
-        taken for failed, and so was its successor. A leader that cannot read its tables asks
-        another instance to take over.
+        The instance sends heartbeats meanwhile: a leader on a slow link that sent none while it
+        loaded was assumed to have failed, and so was its successor. A leader that cannot read its
+        tables asks another instance to take over.
         """
         return self._claimed is not None and not self._loaded
 
--- a/anvilflow/cell/_leader_heartbeat.py
+++ b/anvilflow/cell/_leader_heartbeat.py
@@ -18,7 +18,7 @@
     log : Logger
     leader : object
         Offers ``measure_load()``, ``term``, ``is_loading``, ``has_failed_loading``,
-        ``is_store_unavailable``, ``loaded_at``, ``waiting()`` and ``start_waits()``.
+        ``is_store_unavailable``, ``loaded_at``, ``pending_counts()`` and ``start_delays()``.
     """
 
     def __init__(self, *, context, log, leader):
@@ -47,19 +47,21 @@
 
         Both are stored in the context as well, for the time after another instance becomes leader.
         """
-        waiting = self.leader.waiting()
-        self.context.waiting.record_report(waiting)
-        waits = self.leader.start_waits()
-        self.context.start_waits.record_report(waits)
+        pending_counts = self.leader.pending_counts()
+        self.context.pending_job_counts.record_report(pending_counts)
+        delays = self.leader.start_delays()
+        self.context.start_delays.record_report(delays)
         heartbeat = self.heartbeat()
-        heartbeat.start_waits = {key: round(1000 * wait_s) for key, wait_s in waits.items()} or None
-        heartbeat.waiting = waiting.counts
-        heartbeat.jobs_version = waiting.version
+        heartbeat.start_waits = {
+            key: round(1000 * delay_s) for key, delay_s in delays.items()
+        } or None
+        heartbeat.waiting = pending_counts.counts
+        heartbeat.jobs_version = pending_counts.version
         self._full_heartbeat_at = self.context.clock.seconds()
         return heartbeat
 
     def heartbeat_due(self):
-        """Measure the lag of this process, and send a heartbeat."""
+        """Measure the lag and the load of this process, and send a heartbeat."""
         lag = self.context.lag
         was_short = lag.is_short_of_cpu
         lag.record_call(self.context.clock.seconds())
@@ -84,12 +86,12 @@
     @property
     def _should_hand_over(self):
         """Whether another instance should take over."""
-        is_away = self.leader.is_store_unavailable or self.leader.has_failed_loading
-        return self.context.leaving or is_away or self._should_yield_for_cpu
+        is_impaired = self.leader.is_store_unavailable or self.leader.has_failed_loading
+        return self.context.leaving or is_impaired or self._should_yield_for_cpu
 
     @property
     def _should_yield_for_cpu(self):
-        """Whether this instance is short of processor and a connected one has far more of it."""
+        """Whether this instance is short of processor and a connected one has far more CPU."""
         links = self.context.links
         loaded_at = self.leader.loaded_at
         if loaded_at is None or links is None or not self.context.lag.is_short_of_cpu:
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -22,10 +22,10 @@
 #: second. Unit: seconds.
 UNRESPONSIVE_S = 0.5
 
-#: Factor on the lag that the leader reports: its heartbeat may be late by this multiple of the lag.
-#: Without this allowance a leader with an eighth of a core fell behind in a burst and was replaced,
-#: and so was each leader after it.
-LAG_TIMES = 3
+#: Multiple of the leader's reported lag by which its next heartbeat may be late. Without this
+#: allowance a leader with an eighth of a core fell behind in a burst and was replaced, and so was
+#: each leader after it.
+LAG_ALLOWANCE_FACTOR = 3
 
 #: Least time for which the leader's row has to stay unchanged before its holder counts as no longer
 #: writing: twice the period of the leader's writes. Unit: seconds.
@@ -67,12 +67,13 @@
 
 #: Maximum number of consecutive attempts to claim from a leader that yields. Such a leader records
 #: ends of tasks until it is deposed, and each record between the read of its row and the claim
-#: causes the claim to be refused. Without further attempts the leader stayed in place for 3.6 s in
+#: causes the claim to be refused. Without further attempts the leader was not deposed for 3.6 s in
 #: a rolling restart, until it stopped.
-CLAIM_TRIES = 8
+MAX_CLAIM_ATTEMPTS = 8
 
-#: Remaining waits shorter than this count as over: the clock cannot resolve them. Unit: seconds.
-_TICK_S = 1e-4
+#: Remaining waits shorter than this count as over: the clock cannot distinguish them from zero.
+#: Unit: seconds.
+_CLOCK_TOLERANCE_S = 1e-4
 
 #: Maximum timeout of a connection to the leader. The timeout doubles with each failed attempt,
 #: because every attempt adds work to a leader that is already late. Unit: seconds.
@@ -87,9 +88,9 @@
 
     Safety rests on the row and on the workers: every write of the leader is conditional on the row
     being as the leader last wrote it, and every worker refuses commands with a token lower than one
-    it has seen. The time of a claim is only a guess: a wrong guess costs a take-over and no more.
-    Two instances that cannot reach each other would depose each other in turn; therefore a leader
-    that is unreachable but continues to write its row is not replaced.
+    it has seen. The decision to claim may therefore be wrong: a needless claim costs a take-over
+    and no more. Two instances that cannot reach each other would depose each other in turn;
+    therefore a leader that is unreachable but continues to write its row is not replaced.
     """
 
     prefix = "leadership"
@@ -119,7 +120,7 @@
 
     def _heartbeat(self, source, heartbeat):
         self._heartbeat_at = self.now
-        self._lag_allowance_s = LAG_TIMES * (heartbeat.lag_ms or 0) / 1000
+        self._lag_allowance_s = LAG_ALLOWANCE_FACTOR * (heartbeat.lag_ms or 0) / 1000
         self.context.successors = tuple(heartbeat.successors)
         self._successor_addresses = tuple(heartbeat.addresses or ())
         if heartbeat.yielding and not self._yielding:
@@ -127,11 +128,13 @@
         self._yielding = heartbeat.yielding
         self.context.uses_relays = bool(heartbeat.carried)
         if heartbeat.waiting is not None:
-            waiting = PendingCounts(counts=heartbeat.waiting, version=heartbeat.jobs_version or 0)
-            self.context.waiting.record_report(waiting)
-            start_waits_ms = heartbeat.start_waits or {}
-            self.context.start_waits.record_report(
-                {key: ms / 1000 for key, ms in start_waits_ms.items()}
+            pending_counts = PendingCounts(
+                counts=heartbeat.waiting, version=heartbeat.jobs_version or 0
+            )
+            self.context.pending_job_counts.record_report(pending_counts)
+            start_delays_ms = heartbeat.start_waits or {}
+            self.context.start_delays.record_report(
+                {key: ms / 1000 for key, ms in start_delays_ms.items()}
             )
         config = self.context.config
         if config is None or heartbeat.config_version > config.version:
@@ -150,8 +153,8 @@
         if self.is_leader or self._is_checking or self.context.leaving:
             return
         is_linked = self.context.links is not None and self.context.links.leader_link is not None
-        silence_s = self.now - self._heartbeat_at
-        if is_linked and silence_s < UNRESPONSIVE_S + self._lag_allowance_s and not self._yielding:
+        elapsed_s = self.now - self._heartbeat_at
+        if is_linked and elapsed_s < UNRESPONSIVE_S + self._lag_allowance_s and not self._yielding:
             return
         self._is_checking = True
         done = self._check_leader(is_linked)
@@ -185,7 +188,7 @@
 
     @inlineCallbacks
     def _ask_successors(self):
-        """Look for a leader among the successors of the last one; return whether there is one.
+        """Search for a leader among the successors of the last one; return whether one was found.
 
         An instance that is cut off only from the store cannot read which instance is the leader.
         Without this request it refused all jobs after a change of leader for as long as it was cut
@@ -221,6 +224,7 @@
         self.post(LeaderChanged())
 
     def _rank(self):
+        """Return this instance's rank among the successors, a random one if it is not known."""
         name = self.context.name
         if name in self.context.successors:
             return self.context.successors.index(name)
@@ -318,7 +322,7 @@
         wait_s = self._unchanged_limit_s() + self._lag_allowance_s + self._claim_delay_s()
         until = self.now + wait_s
         while True:
-            pause = min(CHECK_S, max(_TICK_S, until - self.now))
+            pause = min(CHECK_S, max(_CLOCK_TOLERANCE_S, until - self.now))
             yield (
                 self._sleep(pause) if dialling is None else dialling.wait(self.context.clock, pause)
             )
@@ -333,7 +337,7 @@
                 yield self._dial()
                 return
             if self._newest_row_version == before:
-                if self.now >= until - _TICK_S:
+                if self.now >= until - _CLOCK_TOLERANCE_S:
                     yield self._claim("home does not write")
                     return
                 continue
@@ -359,7 +363,7 @@
 
     @inlineCallbacks
     def _claim(self, why):
-        for _ in range(CLAIM_TRIES):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             current_row = yield self._try_to_claim(why)
             if current_row is None or why != "home yields":
                 return
@@ -386,8 +390,8 @@
             term=1,
         )
         if former is not None:
-            # The former leader's report on its workers is kept until they have responded to this
-            # one.
+            # The former leader's report on its workers is kept until the workers have responded to
+            # this leader.
             row.term = former.term + 1
             row.handover = former.handover
             row.registry_version = former.registry_version
--- a/anvilflow/cell/_recorder.py
+++ b/anvilflow/cell/_recorder.py
@@ -52,24 +52,25 @@
 #: change of an entry that is left out, a new leader waits 3.8 s for leases that no worker has.
 MAX_NAMELESS = 100
 
-#: Shorter waits count as over: the clock cannot distinguish them from zero. Unit: seconds.
-_MIN_WAIT_S = 1e-4
-
-#: Longest wait for the answer to a transaction. Unit: seconds.
-LONGEST_WRITE_S = 2.0
-
-#: Bounds of the time without an answer after which the leader reads its row to learn whether a
-#: transaction was committed; between them the time is a multiple of the last answer time. The read
-#: has a timeout of its own. Together they detect a leader that cannot reach the store in 0.8 s.
+#: Remaining waits shorter than this count as over: the clock cannot distinguish them from zero.
 #: Unit: seconds.
-MIN_TIMEOUT_S = 0.3
-MAX_TIMEOUT_S = 1.0
-TIMEOUT_FACTOR = 4
+_CLOCK_TOLERANCE_S = 1e-4
+
+#: Timeout of a transaction. Unit: seconds.
+COMMIT_TIMEOUT_S = 2.0
+
+#: Bounds of the time without an answer after which the leader reads its row to find out whether a
+#: transaction was committed; between them it is this multiple of the last answer's time. The read
+#: has a timeout of its own. Together they detect in 0.8 s that the leader cannot reach the store.
+#: Unit of the times: seconds.
+MIN_ANSWER_TIMEOUT_S = 0.3
+MAX_ANSWER_TIMEOUT_S = 1.0
+ANSWER_TIMEOUT_FACTOR = 4
 READ_TIMEOUT_S = 0.5
 
 #: Multiple of its lag by which an instance that is short of processor extends these timeouts: an
 #: answer that has arrived waits to be read, as the call waited to be written.
-LAG_TIMES = 3
+LAG_ALLOWANCE_FACTOR = 3
 
 #: Delay before a failed transaction is repeated. Unit: seconds.
 RETRY_DELAY_S = 0.15
@@ -139,7 +140,7 @@
             now = self.context.clock.seconds()
             due = self._due_jobs()
             wait = (self._commit_interval_s() if due else HEARTBEAT_S) - (now - last_commit_at)
-            if wait <= _MIN_WAIT_S:
+            if wait <= _CLOCK_TOLERANCE_S:
                 last_commit_at = now
                 yield self._commit(due)
             else:
@@ -186,14 +187,15 @@
     def _make_row(self):
         handover = make_handover(self.scheduler, self.context.clock.seconds())
         nameless = sorted(self.scheduler.nameless)[:MAX_NAMELESS]
-        # If an entry in `nameless` becomes a worker's, the worker gets no task until a row without
-        # the entry is durable.
+        # If an entry in `nameless` becomes that of a worker, the worker gets no task until a row
+        # without the entry is durable.
         self._handover = frozenset([worker.info.worker_id for worker in handover] + nameless)
         for worker in handover:
             self.scheduler.workers[worker.info.worker_id].in_handover = True
         grace_period = self.scheduler.grace_period
         is_over = grace_period.is_over(self.context.clock.seconds())
-        # The next leader must not take as known what this leader does not know of the workers yet.
+        # While this leader may not know all workers of earlier leaders, the row gives registry
+        # version 0: the next leader must not assume that the registry's later history names them.
         is_known = is_over or grace_period.is_known
         missing = [] if is_over else sorted(grace_period.missing)
         return LeaderRow(
@@ -220,7 +222,7 @@
         clock = self.context.clock
         while not self.stopped:
             began = clock.seconds()
-            commit = self.context.store.commit(conditions, writes, timeout=LONGEST_WRITE_S)
+            commit = self.context.store.commit(conditions, writes, timeout=COMMIT_TIMEOUT_S)
             writing = PendingResult(commit)
             row = yield self._wait_for_answer(writing)
             if row is not None:
@@ -278,8 +280,8 @@
 
     @property
     def _extra_wait_s(self):
-        """How late answers may be because this process is short of processor. Unit: seconds."""
-        return LAG_TIMES * self.context.lag.lag_s
+        """Allowance for answers that are late because of this process's lag. Unit: seconds."""
+        return LAG_ALLOWANCE_FACTOR * self.context.lag.lag_s
 
     def _has_changed(self, row):
         return row is not None and row.version != self._row_version
@@ -355,9 +357,9 @@
 def _progress_write(job):
     """Return the write of a job's progress, without its checkpoints if the row would be too large.
 
-    A row holds 2,200 checkpoints. A record over the size of a row was refused forever, and with it
-    everything that the leader records. Without the checkpoints the next leader loses the work since
-    the tasks began; done tasks and failures, which decide what may run, are kept.
+    A row has space for 2,200 checkpoints. A record over the size of a row was refused forever, and
+    with it everything that the leader records. Without the checkpoints the next leader loses the
+    work since the tasks began; done tasks and failures, which decide what may run, are kept.
     """
     record = job.to_record()
     item = write(PROGRESS, job.job_id, record)
@@ -369,4 +371,4 @@
 
 def answer_timeout(answer_s):
     """Return how long to wait for a transaction's answer if the last took `answer_s`."""
-    return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_FACTOR * answer_s))
+    return min(MAX_ANSWER_TIMEOUT_S, max(MIN_ANSWER_TIMEOUT_S, ANSWER_TIMEOUT_FACTOR * answer_s))
--- a/anvilflow/cell/tests/test_congestion.py
+++ b/anvilflow/cell/tests/test_congestion.py
@@ -126,7 +126,7 @@
     cell.submit(cell.other(), JOB, step, spec="0.1 done 500")
     cell.advance(0.5)
     daemon = cell.daemons[cell.leader()]
-    daemon.context.start_waits.record_report({0: 60.0})
+    daemon.context.start_delays.record_report({0: 60.0})
     again = cell.submit(cell.leader(), JOB, step, spec="0.1 done 500")
     new = cell.submit(cell.leader(), f"{1:016x}", step, spec="0.1 done 500")
     cell.advance(0.1)
--- a/anvilflow/cell/tests/test_draining.py
+++ b/anvilflow/cell/tests/test_draining.py
@@ -77,7 +77,7 @@
     refuse the claim.
     """
     if not safeguard:
-        monkeypatch.setattr(_leadership, "CLAIM_TRIES", 1)
+        monkeypatch.setattr(_leadership, "MAX_CLAIM_ATTEMPTS", 1)
         monkeypatch.setattr(_recorder, "LEAVING_COMMIT_INTERVAL_S", 0.0)
         monkeypatch.setattr(_recorder, "MIN_COMMIT_INTERVAL_S", 0.0)
     cell = make_cell(n_instances=5, n_workers=8, sizes=lambda task, payload: (0.05, "done", 500))
--- a/anvilflow/cell/tests/test_short_of_processor.py
+++ b/anvilflow/cell/tests/test_short_of_processor.py
@@ -53,7 +53,7 @@
     The leader reports its lag, and the other instances extend their timeouts by a multiple of it.
     """
     if not safeguard:
-        monkeypatch.setattr(_leadership, "LAG_TIMES", 0)
+        monkeypatch.setattr(_leadership, "LAG_ALLOWANCE_FACTOR", 0)
     cell = make_cell(n_instances=5, n_workers=12)
     term = cell.store.value("home", "home", part="cell")["term"]
     job_ids = _play_burst(cell)
@@ -114,7 +114,7 @@
     Answers of the store have arrived but wait to be read.
     """
     if not safeguard:
-        monkeypatch.setattr(_recorder, "LAG_TIMES", 0)
+        monkeypatch.setattr(_recorder, "LAG_ALLOWANCE_FACTOR", 0)
     monkeypatch.setattr(LagMeter, "record_call", lambda self, now: setattr(self, "lag_s", 0.6))
     cell = make_cell(n_instances=4)
     leader = cell.leader()
