--- a/anvilflow/cell/_lag.py
+++ b/anvilflow/cell/_lag.py
@@ -3,7 +3,8 @@
 #: Upper bound of the lag, so that the allowance of other instances stays bounded. Unit: seconds.
 MAX_LAG_S = 1.0
 
-#: Factor by which a lag decays at each call. One of a second is below `SHORT_OF_CPU_S` after 2 s.
+#: Factor by which a lag decays at each call. A lag of one second is below `SHORT_OF_CPU_S` after
+#: 2 s.
 LAG_DECAY = 0.8
 
 #: Lag from which the process is short of processor. A CPU quota can take away a tenth of a second
--- a/anvilflow/cell/_links.py
+++ b/anvilflow/cell/_links.py
@@ -299,7 +299,7 @@
     def _call_failed(self, failure, number):
         self._calls.pop(number, None)
         if failure.check(TimeoutError):
-            raise PeerTimeoutError("the other instance gave no answer in time") from failure.value
+            raise PeerTimeoutError("the other instance did not answer in time") from failure.value
         return failure
 
     def _serve_job(self, link, body):
--- a/anvilflow/cell/_loading_heartbeat.py
+++ b/anvilflow/cell/_loading_heartbeat.py
@@ -62,10 +62,10 @@
 
     @property
     def is_late(self):
-        """Whether the leader has been loading for so long that another instance should try.
+        """Whether the leader has been loading for so long that another instance should take over.
 
-        Answers that trickle in over a congested link neither fail nor complete, and meanwhile no
-        other instance may lead.
+        Over a congested link, answers can arrive so slowly that the reads neither fail nor
+        complete, and meanwhile no other instance may lead.
         """
         return self.context.clock.seconds() >= self._timeout_at
 
--- a/anvilflow/cell/_standby_tables.py
+++ b/anvilflow/cell/_standby_tables.py
@@ -14,7 +14,7 @@
 #: Number of successors that follow the tables: the next leader, and the one after it.
 N_STANDBYS = 2
 
-#: Pause between reads of the changes. Unit: seconds.
+#: Pause between reads of the tables' changes. Unit: seconds.
 FOLLOW_S = 0.5
 
 #: Pause between the checks on whether to follow, on an instance whose link and processor allow it
@@ -37,8 +37,8 @@
         self.rows = {}
         self.version = None
 
-    def read(self, rows, version):
-        """Set the rows to those of a complete read."""
+    def replace(self, rows, version):
+        """Replace all rows by those of a complete read."""
         self.rows = {(row.part, row.key): row for row in rows}
         self.version = version
 
@@ -129,7 +129,7 @@
             else:
                 part = "" if name == REGISTRY_TABLE else PART
                 rows, version = yield store.read(name, part)
-            table.read(rows, version)
+            table.replace(rows, version)
         self._tables = tables
         self.log.info("tables followed", rows=sum(len(table.rows) for table in tables.values()))
 
--- a/anvilflow/cell/_tables.py
+++ b/anvilflow/cell/_tables.py
@@ -43,7 +43,7 @@
     is the number of its workers; `missing` are workers that had left the registry when this leader
     began and have not registered since. `nameless` are registry entries that name no worker and
     have named none while this instance was the leader. `n_loads` counts the consecutive claims
-    after which no leader has begun.
+    after which no leader has begun to schedule.
     """
 
     holder: str
