--- a/anvilflow/cell/tests/test_relays.py
+++ b/anvilflow/cell/tests/test_relays.py
@@ -124,9 +124,9 @@
             cell.pause(gateway)
             cell.clock.callLater(2.0, cell.resume, gateway)
         case "cut from":
-            cell.network.silence(gateway, leader)
+            cell.network.block(gateway, leader)
         case "cut to":
-            cell.network.silence(leader, gateway)
+            cell.network.block(leader, gateway)
         case "restart":
             cell.kill(gateway)
             cell.start_instance(gateway)
@@ -261,7 +261,7 @@
     """A relay executes commands, but its answers do not reach the leader."""
     cell = _make_cell(n_workers=3)
     gateway = _gateway_with_payload(cell, spec="0.6 done 1000")
-    cell.network.silence(gateway, cell.leader())
+    cell.network.block(gateway, cell.leader())
     cell.advance(9.0)
     assert _done(cell) == _names()
     assert cell.check() == []
--- a/anvilflow/cell/tests/test_slow_links.py
+++ b/anvilflow/cell/tests/test_slow_links.py
@@ -161,8 +161,8 @@
         cell.advance(0.01)
     leader = cell.leader()
     cut_off = next(name for name in reversed(cell.daemons) if name != leader)
-    cell.network.silence(cut_off, leader)
-    cell.network.silence(leader, cut_off)
+    cell.network.block(cut_off, leader)
+    cell.network.block(leader, cut_off)
     return cell, leader, term
 
 
--- a/anvilflow/cell/tests/test_unrecorded_ends.py
+++ b/anvilflow/cell/tests/test_unrecorded_ends.py
@@ -64,7 +64,7 @@
     cell.advance(0.5)
     leader, gateway = cell.leader(), cell.other()
     _advance_until_jobs_are_read(cell)
-    cell.network.silence(gateway, leader)
+    cell.network.block(gateway, leader)
     cell.submit(gateway, JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(0.05)
     _start_as_a_former_leader(cell, "i-0", f"{JOB}.0.0.0", "0.1 done 1000")
--- a/anvilflow/chaos/_faults.py
+++ b/anvilflow/chaos/_faults.py
@@ -154,8 +154,8 @@
     def _partition_one_way(self):
         names = list(self.cell.daemons)
         sender, receiver = self.random_state.sample(names, 2)
-        self.cell.network.silence(sender, receiver)
-        self._end_later(10.0, lambda: self.cell.network.unsilence(sender, receiver))
+        self.cell.network.block(sender, receiver)
+        self._end_later(10.0, lambda: self.cell.network.unblock(sender, receiver))
 
     def _unlist_instance(self):
         name = self._choose_instance()
--- a/anvilflow/jobs/tests/test_load.py
+++ b/anvilflow/jobs/tests/test_load.py
@@ -4,7 +4,7 @@
 
 from anvilflow.jobs import SchedulingPolicy
 from anvilflow.standins import (
-    LoadPlay,
+    LoadSimulation,
     make_accelerator_kinds,
     make_accelerator_workers,
     make_wide_kinds,
@@ -19,13 +19,13 @@
 
 def simulate(policy, random_state):
     """Return the results by queue for jobs that arrive during 40 s."""
-    load = LoadPlay(
+    load = LoadSimulation(
         kinds=make_accelerator_kinds(LOAD_FACTOR),
         workers=make_accelerator_workers(),
         policy=policy,
         random_state=random_state,
     )
-    return load.play(75.0)
+    return load.run_until(75.0)
 
 
 def mean_shares(policy):
@@ -52,7 +52,7 @@
 
     97 instances can make advice requests.
     """
-    load = LoadPlay(
+    load = LoadSimulation(
         kinds=make_wide_kinds(1.0),
         workers=make_wide_workers(),
         policy=policy,
@@ -60,7 +60,7 @@
         length_s=12.0,
         random_state=random_state,
     )
-    return load.play(30.0)
+    return load.run_until(30.0)
 
 
 def test_advice_requests_in_a_large_cell_name_as_many_workers_as_needed():
--- a/anvilflow/parts/tests/test_failures.py
+++ b/anvilflow/parts/tests/test_failures.py
@@ -335,7 +335,7 @@
     connections work, and requests between the instances are answered.
     """
     cell = make_cell()
-    cell.network.silence("a1", "a2")
+    cell.network.block("a1", "a2")
     cell.advance(3.0)
     cell.network.heal()
     cell.advance(2.0)
@@ -354,7 +354,7 @@
     """
     cell = make_cell()
     cell.membership_faults.down = True
-    cell.network.silence("a1", "a2")
+    cell.network.block("a1", "a2")
     cell.advance(4.0)
     assert "a2" not in cell.part("a1", "peers").dump()
     cell.network.heal()
--- a/anvilflow/standins/__init__.py
+++ b/anvilflow/standins/__init__.py
@@ -1,17 +1,17 @@
-"""Small stand-ins for what the platform gives, with switches for its faults."""
+"""Small stand-ins for the platform's services, with switches that inject faults."""
 
 from ._balancer import Balancer
 from ._cell import Cell, make_client
 from ._faults import Faults
 from ._load_kinds import KindResult, LoadKind
-from ._load_play import LoadPlay, make_workers
+from ._load_simulation import LoadSimulation, make_workers
 from ._loads import (
     make_accelerator_kinds,
     make_accelerator_workers,
     make_processor_kinds,
     make_wide_kinds,
     make_wide_workers,
-    play_load,
+    simulate_load,
 )
 from ._membership import MembershipServer, MembershipState
 from ._metadata_store import MetadataStore, StoreCall
@@ -38,7 +38,7 @@
     "Faults",
     "KindResult",
     "LoadKind",
-    "LoadPlay",
+    "LoadSimulation",
     "MembershipServer",
     "MembershipState",
     "MemoryNetwork",
@@ -73,5 +73,5 @@
     "make_wide_kinds",
     "make_wide_workers",
     "make_workers",
-    "play_load",
+    "simulate_load",
 ]
--- a/anvilflow/standins/_balancer.py
+++ b/anvilflow/standins/_balancer.py
@@ -1,13 +1,13 @@
-"""Stand-in for the platform's balancer: spreads callers over instances that report health."""
+"""Stand-in for the platform's load balancer: distributes connections over healthy instances."""
 
 
 class Balancer:
-    """Chooses an entry instance for each connection, in turn.
+    """Chooses a gateway for each connection, in round-robin order.
 
     Parameters
     ----------
     addresses : dict of str to str
-        Callers' address of each instance.
+        Address for callers, by instance.
     """
 
     def __init__(self, *, addresses):
@@ -16,7 +16,7 @@
         self._turn = 0
 
     def set_healthy(self, names):
-        """Take the result of a health check."""
+        """Set the instances that passed the health check."""
         self._healthy = [name for name in self.addresses if name in names]
 
     def choose(self):
--- a/anvilflow/standins/_cell.py
+++ b/anvilflow/standins/_cell.py
@@ -32,9 +32,9 @@
         Failure domains.
     n_instances, n_workers, workers_per_rack : int
     capacity : Amounts
-        Of each worker.
+        Capacity of each worker.
     declarations : list of resources
-        In the table from the start.
+        Stored in the table at the start.
     history : History, default=None
     random_state : int, default=0
     sections : dict, default=None
@@ -73,7 +73,7 @@
 
     @inlineCallbacks
     def start(self):
-        """Start everything; the Deferred fires when every instance can serve."""
+        """Start stand-ins and instances; the Deferred fires when every instance can serve."""
         self.start_standins()
         for number in range(self.n_instances):
             self.start_instance(f"a{number + 1}")
@@ -84,7 +84,7 @@
         )
 
     def start_standins(self):
-        """Start the table, the membership list and the workers."""
+        """Start the table, the object store, the membership list and the workers."""
         self.table_faults = Faults(clock=self.reactor)
         self.table = TableState()
         table = TableServer(clock=self.reactor, state=self.table, faults=self.table_faults)
@@ -102,7 +102,7 @@
             self._start_worker(number)
 
     def start_instance(self, name):
-        """Start an instance and put it on the list."""
+        """Start an instance and add it to the membership list."""
         number = int(name[1:])
         domain = self.domains[number % len(self.domains)]
         settings = Settings(
@@ -140,25 +140,25 @@
 
     @inlineCallbacks
     def ready(self):
-        """Wait until every worker has an owner that the other instances know of."""
+        """Wait until every worker has an owner and every instance has all owners' digests."""
         while not self._is_ready():
             yield deferLater(self.reactor, _READY_POLL_S, lambda: None)
 
     def crash_instance(self, name):
-        """Cut an instance off without a word."""
+        """Crash an instance without draining, and remove it from the membership list."""
         daemon = self.daemons.pop(name)
         self.membership.remove(name)
         return daemon.crash()
 
     def worker_leaves(self, name):
-        """Mark a worker as leaving on the list."""
+        """Mark a worker as leaving in the membership list."""
         self.membership.put(structs.replace(self._members[name], state="leaving"))
         if self.history is not None:
             self.history.add(TargetLeaving, worker=name)
 
     @inlineCallbacks
     def stop(self):
-        """Stop everything."""
+        """Stop all instances, ports and workers."""
         yield DeferredList([daemon.supervisor.stop() for daemon in self.daemons.values()])
         yield DeferredList([port.stopListening() for port in self._ports])
         for worker in self.workers.values():
--- a/anvilflow/standins/_faults.py
+++ b/anvilflow/standins/_faults.py
@@ -8,7 +8,7 @@
 
 
 class Faults:
-    """What a stand-in does wrong just now.
+    """Faults that a stand-in injects at present.
 
     Parameters
     ----------
@@ -17,17 +17,17 @@
     Attributes
     ----------
     down : bool
-        Answers nothing but an error, and does nothing.
+        Every call fails with an error and has no effect.
     slow_s : float
-        Waits before it acts. Unit: seconds.
+        Delay before a call takes effect. Unit: seconds.
     lose_answer : bool
-        Acts, and then answers with an error; only for calls that change something.
+        Calls that change something take effect and then fail with an error.
     silent : bool
-        Neither acts nor answers.
+        Calls have no effect and get no response.
     fail_runs : bool
-        A worker fails everything that it starts, fast.
+        A worker fails every run soon after its start.
     size_factor : float
-        A worker's tasks run this much longer than declared.
+        Factor on the declared run time of a worker's tasks.
     """
 
     def __init__(self, *, clock):
@@ -41,7 +41,7 @@
 
     @inlineCallbacks
     def around(self, act, *args, changes=True):
-        """Call `act` as the switches say; `changes`: whether it changes anything."""
+        """Call `act` with the injected faults; `changes`: whether the call changes anything."""
         if self.slow_s:
             yield deferLater(self.clock, self.slow_s, lambda: None)
         if self.silent:
@@ -54,23 +54,23 @@
         return result
 
 
-def answered_on(clock, done, *, timeout, error):
-    """Deliver the result of `done` on the caller's own clock, so that its pause holds it back.
+def deliver_on_clock(clock, done, *, timeout, error):
+    """Deliver the result of `done` on the caller's clock, so that a paused caller gets it later.
 
     Parameters
     ----------
     clock : IReactorTime
-        The caller's.
+        Clock of the caller.
     done : Deferred
     timeout : float
-        After which the caller gives up; what was asked may still happen. Unit: seconds.
+        Time after which the caller gives up; the call may still take effect. Unit: seconds.
     error : type
-        What the Deferred then fails with.
+        Type of the error after the timeout.
     """
     answer = Deferred()
-    late = clock.callLater(timeout, _settle, answer, Failure(error("no answer in time")))
+    timer = clock.callLater(timeout, _settle, answer, Failure(error("no answer in time")))
     done.addBoth(lambda result: clock.callLater(0, _settle, answer, result))
-    answer.addBoth(_stop_timer, late)
+    answer.addBoth(_stop_timer, timer)
     return answer
 
 
@@ -79,7 +79,7 @@
         answer.callback(result)
 
 
-def _stop_timer(result, late):
-    if late.active():
-        late.cancel()
+def _stop_timer(result, timer):
+    if timer.active():
+        timer.cancel()
     return result
--- a/anvilflow/standins/_load_kinds.py
+++ b/anvilflow/standins/_load_kinds.py
@@ -1,4 +1,4 @@
-"""What comes in a played load, and what its callers get."""
+"""Kinds of jobs in a simulated load, and the results for their callers."""
 
 from msgspec import Struct
 
@@ -6,30 +6,30 @@
 
 
 class LoadKind(Struct, kw_only=True, frozen=True):
-    """Jobs of one kind: how many come, and what they are.
+    """Jobs of one kind: their arrival rate and their properties.
 
     Parameters
     ----------
     queue : Queue
     per_s : float
-        Jobs a second.
+        Jobs that arrive per second.
     n_tasks : float
-        Mean of a step; the numbers are spread exponentially.
+        Mean number of tasks of a step; the numbers are exponentially distributed.
     n_steps : int, default=1
     work_s : float
-        Mean length of a task, and `spread` its standard deviation in parts. Unit: seconds.
+        Mean length of a task; `spread` is the standard deviation relative to it. Unit: seconds.
     estimate_off : float
-        How far estimates are off at the most, in parts either way.
+        Largest relative error of the estimates, in either direction.
     cpu_milli, memory_mb : int
     accelerators : tuple of int
-        One of these is drawn for each job.
+        Numbers of accelerators per task, of which one is drawn for each job.
     checkpointing : float
-        Share of the jobs whose tasks can resume.
+        Share of jobs whose tasks can resume from a checkpoint.
     good : float
-        Share of the workers that advice allows.
+        Share of workers that the advice allows.
     worth : float
     speculative : float
-        Share of the jobs whose tasks may have copies.
+        Share of jobs whose tasks may have speculative copies.
     gang : bool
     """
 
@@ -51,15 +51,17 @@
 
 
 class KindResult(Struct, kw_only=True):
-    """What the callers of one kind got.
+    """Results for the callers of one kind of jobs.
 
     Parameters
     ----------
     n_asked, n_in_time, n_late : int
+        Submitted jobs, jobs completed within their objective, and jobs completed late.
     owed, earned : float
-        Worth of what was asked, and of what was done; a late job has a fifth of its own.
+        Worth of the submitted jobs, and of the completed ones; a late job earns a fifth of its
+        worth.
     waits_s : list of float
-        From handing in to the first start. Unit: seconds.
+        Times from submission to the first start. Unit: seconds.
     """
 
     n_asked: int = 0
@@ -71,5 +73,5 @@
 
     @property
     def share(self):
-        """Earned worth in parts of what was owed."""
+        """Earned worth as a share of the worth of all submitted jobs."""
         return self.earned / self.owed if self.owed else 1.0
--- a/anvilflow/standins/_load_play.py
+++ b/anvilflow/standins/_load_simulation.py
@@ -1,4 +1,4 @@
-"""Plays a load on the scheduler alone, in virtual time: what callers get under a policy."""
+"""Simulates a load on the scheduler alone, in virtual time, and measures what callers get."""
 
 from collections import Counter
 from heapq import heappop, heappush
@@ -24,28 +24,28 @@
 )
 from ._load_kinds import KindResult, LoadKind
 
-#: One way between the scheduler and a worker, and the period of reports. Unit: seconds.
-WAY_S = 0.003
-REPORT_S = 0.5
+#: One-way delay between the scheduler and a worker, and period of reports. Unit: seconds.
+ONE_WAY_DELAY_S = 0.003
+REPORT_PERIOD_S = 0.5
 
-#: Time between two plans without an event. Unit: seconds.
-PLAN_S = 0.05
+#: Period of the plans that no event triggers. Unit: seconds.
+PLAN_PERIOD_S = 0.05
 
-#: Length of a stop, progress between two checkpoints, and the reading of one. Unit: seconds.
-STOP_S = 0.2
-SAVE_S = 1.0
+#: Duration of a stop, progress between two checkpoints, and time to restore one. Unit: seconds.
+STOP_DURATION_S = 0.2
+CHECKPOINT_PERIOD_S = 1.0
 RESTORE_S = 0.25
 
-#: Times of the objective after which a job that is late is worth nothing.
-LATE_TIMES = 3.0
+#: Factor on the objective beyond which a late job is worth nothing.
+MAX_LATE_FACTOR = 3.0
 
-#: Share of its worth that a late job has.
+#: Share of its worth that a late job earns.
 LATE_SHARE = 0.2
 
 _LEASE_S = 3.0
 
 
-class _PlayedJob(Struct, kw_only=True):
+class _SimulatedJob(Struct, kw_only=True):
     spec: JobSpec
     kind: LoadKind
     came_at: float
@@ -55,7 +55,7 @@
     begun: bool = False
 
 
-class _PlayedRun(Struct, kw_only=True):
+class _SimulatedRun(Struct, kw_only=True):
     task: str
     run_id: int
     began_at: float
@@ -65,18 +65,18 @@
     speed: float = 1.0
     stops_at: float | None = None
 
-    def worked(self, now):
-        """Return the work done so far, that of earlier runs included. Unit: seconds."""
+    def work_done(self, now):
+        """Return the work done so far, including that of earlier runs. Unit: seconds."""
         return min(self.length_s, self.done_s + self.speed * max(0.0, now - self.began_at))
 
     def checkpoint(self, now):
-        """Return the newest checkpoint, empty when there is none."""
-        saved = int(self.worked(now) / SAVE_S) * SAVE_S
+        """Return the latest checkpoint, or an empty string if there is none."""
+        saved = int(self.work_done(now) / CHECKPOINT_PERIOD_S) * CHECKPOINT_PERIOD_S
         return f"{saved:.3f}" if self.can_resume and saved > 0 else ""
 
 
-class LoadPlay:
-    """A scheduler, workers that do as they are told, and jobs that come by themselves.
+class LoadSimulation:
+    """A scheduler, workers that execute its commands, and jobs that arrive at random.
 
     Parameters
     ----------
@@ -84,11 +84,11 @@
     workers : sequence of WorkerInfo
     policy : SchedulingPolicy, default=None
     length_s : float
-        How long jobs come. Unit: seconds.
+        Time during which jobs arrive. Unit: seconds.
     n_advice_callers : int, default=7
-        Instances that carry asks for advice, one at a time each.
+        Instances that make advice requests, one at a time each.
     speeds : dict of str to float, default=None
-        Speed of workers that are slow, in parts of a sound one's.
+        Speeds of slow workers, relative to a normal worker.
     random_state : int, default=0
     """
 
@@ -116,7 +116,7 @@
         self._runs = {worker.worker_id: {} for worker in workers}
         self._ended = {worker.worker_id: [] for worker in workers}
         self._n_ended = Counter()
-        self._advisers = [0.0] * n_advice_callers
+        self._free_at = [0.0] * n_advice_callers
         self.scheduler = Scheduler(
             term=1, lease_s=_LEASE_S, now=0.0, n_advice_callers=n_advice_callers, policy=policy
         )
@@ -132,8 +132,8 @@
     def _at(self, when, call, *args):
         heappush(self._events, (when, next(self._order), call, args))
 
-    def play(self, until_s):
-        """Play until a moment; return the results by queue. Unit: seconds."""
+    def run_until(self, until_s):
+        """Run the simulation until `until_s`; return the results by queue. Unit: seconds."""
         while self._events and self._events[0][0] <= until_s:
             self.now, _, call, args = heappop(self._events)
             call(*args)
@@ -148,7 +148,7 @@
         if self.now > self.length_s:
             return
         self._at(self._next_arrival(kind), self._arrive, kind)
-        job = self._draw(kind)
+        job = self._draw_job(kind)
         self._jobs[job.spec.job_id] = job
         result = self.results[kind.queue.name]
         result.n_asked += 1
@@ -156,7 +156,7 @@
         self.scheduler.add_job(job.spec, kind.queue, version=1, now=self.now, wall_now=self.now)
         self._plan()
 
-    def _draw(self, kind):
+    def _draw_job(self, kind):
         random = self.random_state
         job_id = f"{len(self._jobs):016x}"
         lengths, chain_s, work = {}, 0.0, 0.0
@@ -173,7 +173,7 @@
                 lengths[f"{job_id}.0.{number}.{index}"] = length_s
                 longest_s = max(longest_s, length_s)
                 work += length_s
-            off = 1 + random.uniform(-kind.estimate_off, kind.estimate_off)
+            error_factor = 1 + random.uniform(-kind.estimate_off, kind.estimate_off)
             chain_s += longest_s
             steps.append(
                 StepSpec(
@@ -181,7 +181,7 @@
                     cpu_milli=kind.cpu_milli,
                     memory_mb=kind.memory_mb,
                     accelerators=accelerators,
-                    estimate_s=max(0.05, mean_s * off),
+                    estimate_s=max(0.05, mean_s * error_factor),
                     after=(number - 1,) if number else (),
                     checkpointing=can_resume,
                     speculative=speculative,
@@ -189,7 +189,7 @@
                 )
             )
         mean_work = kind.n_steps * kind.n_tasks * kind.work_s
-        return _PlayedJob(
+        return _SimulatedJob(
             spec=JobSpec(job_id=job_id, queue=kind.queue.name, payload="", steps=tuple(steps)),
             kind=kind,
             came_at=self.now,
@@ -198,8 +198,8 @@
             lengths_s=lengths,
         )
 
-    def _settle(self):
-        """Make all progress durable at once, and count the jobs that have ended."""
+    def _record_progress(self):
+        """Record all progress without delay, and count the jobs that have ended."""
         for record in self.scheduler.dirty_jobs():
             job_id = record.job_id
             if not self.scheduler.recorded(job_id, record.change, self.now):
@@ -212,7 +212,7 @@
             if took_s <= job.objective_s:
                 result.n_in_time += 1
                 result.earned += job.worth
-            elif took_s <= LATE_TIMES * job.objective_s:
+            elif took_s <= MAX_LATE_FACTOR * job.objective_s:
                 result.n_late += 1
                 result.earned += LATE_SHARE * job.worth
 
@@ -220,21 +220,21 @@
 
     def _plan_again(self):
         self._plan()
-        self._at(self.now + PLAN_S, self._plan_again)
+        self._at(self.now + PLAN_PERIOD_S, self._plan_again)
 
     def _plan(self):
-        self._carry_out(self.scheduler.plan(self.now, self.now))
+        self._execute(self.scheduler.plan(self.now, self.now))
 
-    def _carry_out(self, actions):
+    def _execute(self, actions):
         for action in actions:
             match action:
                 case StartRun():
-                    self._at(self.now + WAY_S, self._start, action)
+                    self._at(self.now + ONE_WAY_DELAY_S, self._start, action)
                 case StopRun():
                     self.stops[action.why] += 1
-                    self._at(self.now + WAY_S, self._stop, action)
+                    self._at(self.now + ONE_WAY_DELAY_S, self._stop, action)
                 case RequestAdvice():
-                    self._ask(action)
+                    self._request_advice(action)
 
     def _start(self, action):
         job = self._jobs[action.task.split(".", 1)[0]]
@@ -243,7 +243,7 @@
             self.results[job.kind.queue.name].waits_s.append(self.now - job.came_at)
         step = job.spec.steps[int(action.task.split(".")[2])]
         done_s = float(action.checkpoint or 0.0)
-        run = _PlayedRun(
+        run = _SimulatedRun(
             task=action.task,
             run_id=action.run_id,
             began_at=self.now + (RESTORE_S if done_s else 0.0),
@@ -255,7 +255,7 @@
         self._runs[action.worker_id][action.task] = run
         ends_at = run.began_at + (run.length_s - run.done_s) / run.speed
         self._at(ends_at, self._end, action.worker_id, run, "done")
-        self._at(self.now + WAY_S, self._answer, action)
+        self._at(self.now + ONE_WAY_DELAY_S, self._answer, action)
 
     def _answer(self, action):
         self.scheduler.start_answered(
@@ -265,9 +265,9 @@
     def _stop(self, action):
         run = self._runs[action.worker_id].get(action.task)
         if run is not None and run.run_id == action.run_id and run.stops_at is None:
-            run.stops_at = self.now + STOP_S
+            run.stops_at = self.now + STOP_DURATION_S
             self._at(run.stops_at, self._end, action.worker_id, run, "stopped")
-        self._at(self.now + WAY_S, self._stopped, action)
+        self._at(self.now + ONE_WAY_DELAY_S, self._stopped, action)
 
     def _stopped(self, action):
         self.scheduler.stop_answered(action.worker_id, action.task, action.run_id, self.now)
@@ -287,50 +287,50 @@
             checkpoint=run.checkpoint(self.now) if how == "stopped" else "",
         )
         self._ended[worker_id].append(end)
-        self._at(self.now + WAY_S, self._tell, worker_id)
+        self._at(self.now + ONE_WAY_DELAY_S, self._send_report, worker_id)
 
     # Reports
 
     def _report(self, worker_id):
-        self._tell(worker_id)
-        self._at(self.now + REPORT_S, self._report, worker_id)
+        self._send_report(worker_id)
+        self._at(self.now + REPORT_PERIOD_S, self._report, worker_id)
 
-    def _tell(self, worker_id):
+    def _send_report(self, worker_id):
         ended, self._ended[worker_id] = self._ended[worker_id], []
         active = tuple(
             RunReport(
                 task=run.task,
                 run_id=run.run_id,
                 checkpoint=run.checkpoint(self.now),
-                percent=int(100 * run.worked(self.now) / run.length_s),
+                percent=int(100 * run.work_done(self.now) / run.length_s),
                 load=0.0,
             )
             for run in self._runs[worker_id].values()
         )
         report = WorkerReport(clock_s=self.now, active=active, ended=tuple(ended))
-        requested_at = self.now - WAY_S
-        self._carry_out(
+        requested_at = self.now - ONE_WAY_DELAY_S
+        self._execute(
             self.scheduler.report(worker_id, report, requested_at=requested_at, now=self.now)
         )
         if ended:
-            self._settle()
+            self._record_progress()
             self._plan()
 
     # Advice
 
-    def _ask(self, action):
-        """Let the instance that is free first carry the ask; each carries one at a time."""
-        index = min(range(len(self._advisers)), key=self._advisers.__getitem__)
-        answers_at = max(self.now, self._advisers[index]) + action.length_s
-        self._advisers[index] = answers_at
-        self._at(answers_at, self._advise, action)
+    def _request_advice(self, action):
+        """Make the request from the instance that is free first; each makes one at a time."""
+        index = min(range(len(self._free_at)), key=self._free_at.__getitem__)
+        answers_at = max(self.now, self._free_at[index]) + action.length_s
+        self._free_at[index] = answers_at
+        self._at(answers_at, self._deliver_advice, action)
 
     def _allowed(self, step, good):
-        """Return the workers that advice allows for a step: always the same, one at the least."""
+        """Return the workers that advice allows for a step: always the same, and at least one."""
         draws = {name: Random(f"{step} {name}").random() for name in self._runs}
         return {name for name in draws if draws[name] < max(good, min(draws.values()) + 1e-9)}
 
-    def _advise(self, action):
+    def _deliver_advice(self, action):
         job = self._jobs[action.step.split(".", 1)[0]]
         allowed = self._allowed(action.step, job.kind.good)
         tickets = {worker_id: "ticket" for worker_id in action.workers if worker_id in allowed}
@@ -342,7 +342,7 @@
 
 
 def make_workers(n_workers, *, service, cpu_milli, memory_mb, accelerators=0):
-    """Return workers that are alike."""
+    """Return workers of equal capacity, four in each rack."""
     return [
         WorkerInfo(
             worker_id=f"{service}-{number}",
--- a/anvilflow/standins/_loads.py
+++ b/anvilflow/standins/_loads.py
@@ -1,27 +1,28 @@
-"""Loads to play: four kinds of jobs on two services, usual, heavy, with slow workers."""
+"""Loads to simulate: usual, heavy and with slow workers on two services, and on many workers."""
 
 from ..jobs import AdviceRules, Queue
 from ._load_kinds import LoadKind
-from ._load_play import LoadPlay, make_workers
+from ._load_simulation import LoadSimulation, make_workers
 
-#: Workers of the two services, and how many of each are slow, six times, in the load that has such.
+#: Numbers of workers of the two services and of the wide load, and the workers that are slow by a
+#: factor of six in the load "slow workers".
 N_CPU = 18
 N_ACCELERATORS = 8
 N_WIDE = 270
-SLOW = ("cpu-0", "cpu-1", "accelerators-0")
+SLOW_WORKERS = ("cpu-0", "cpu-1", "accelerators-0")
 SLOW_SPEED = 1 / 6
 
-#: Jobs of the heavy load in times of the usual one.
-HEAVY_TIMES = 1.3
+#: Job rate of the heavy load, relative to the usual load.
+HEAVY_LOAD_FACTOR = 1.3
 
-#: How long jobs come, and how long the load is played. Unit: seconds.
+#: Time during which jobs arrive, and simulated time. Unit: seconds.
 LENGTH_S = 40.0
-PLAYED_S = 75.0
+SIMULATED_S = 75.0
 
-#: The same for the load on many workers, and the instances that carry its asks.
+#: The same for the load on many workers, and the instances that make its advice requests.
 WIDE_LENGTH_S = 12.0
-WIDE_PLAYED_S = 30.0
-N_WIDE_ADVISERS = 97
+WIDE_SIMULATED_S = 30.0
+N_WIDE_ADVICE_CALLERS = 97
 
 
 def _queue(name, service, priority, stretch, target_latency_s, base_s, per_worker_s):
@@ -38,12 +39,12 @@
     )
 
 
-def make_processor_kinds(times):
-    """Return quick work and orders of two steps, with `times` the jobs of a usual load."""
+def make_processor_kinds(load_factor):
+    """Return quick jobs and orders of two steps, at `load_factor` times the usual rate."""
     return (
         LoadKind(
             queue=_queue("quick", "cpu", 0, 1.5, 0.25, 0.024, 0.00021),
-            per_s=7.2 * times,
+            per_s=7.2 * load_factor,
             n_tasks=6,
             work_s=0.7,
             worth=0.61,
@@ -54,7 +55,7 @@
         ),
         LoadKind(
             queue=_queue("order", "cpu", 2, 4.0, 3.0, 0.24, 0.0021),
-            per_s=0.4 * times,
+            per_s=0.4 * load_factor,
             n_tasks=14,
             n_steps=2,
             work_s=3.6,
@@ -68,12 +69,12 @@
     )
 
 
-def make_accelerator_kinds(times):
-    """Return large tasks that few workers may run, and small ones, with `times` the usual jobs."""
+def make_accelerator_kinds(load_factor):
+    """Return large jobs for few workers and small jobs, at `load_factor` times the usual rate."""
     return (
         LoadKind(
             queue=_queue("large", "accelerators", 1, 2.2, 1.0, 0.85, 0.0076),
-            per_s=0.735 * times,
+            per_s=0.735 * load_factor,
             n_tasks=1.2,
             work_s=4.5,
             worth=3.4,
@@ -85,7 +86,7 @@
         ),
         LoadKind(
             queue=_queue("small", "accelerators", 2, 4.0, 3.0, 0.24, 0.0022),
-            per_s=0.76 * times,
+            per_s=0.76 * load_factor,
             n_tasks=7.5,
             work_s=2.4,
             worth=2.1,
@@ -99,12 +100,12 @@
     )
 
 
-def make_wide_kinds(times):
-    """Return quick work and orders for some hundred workers, with `times` the usual jobs."""
+def make_wide_kinds(load_factor):
+    """Return quick jobs and orders for 270 workers, at `load_factor` times the usual rate."""
     return (
         LoadKind(
             queue=_queue("quick", "wide", 0, 1.5, 0.25, 0.0364, 0.00052),
-            per_s=21.0 * times,
+            per_s=21.0 * load_factor,
             n_tasks=7.5,
             work_s=0.64,
             worth=0.54,
@@ -114,7 +115,7 @@
         ),
         LoadKind(
             queue=_queue("order", "wide", 2, 2.2, 1.2, 0.546, 0.0078),
-            per_s=2.8 * times,
+            per_s=2.8 * load_factor,
             n_tasks=13,
             n_steps=2,
             work_s=6.0,
@@ -129,7 +130,7 @@
 
 
 def make_wide_workers():
-    """Return as many workers as that load fills to some four fifths."""
+    """Return the workers of the wide load, which uses about four fifths of their capacity."""
     return make_workers(N_WIDE, service="wide", cpu_milli=16_000, memory_mb=65_536)
 
 
@@ -144,8 +145,8 @@
     )
 
 
-def play_load(load, policy, seed):
-    """Return the share of all worth that callers got under a policy.
+def simulate_load(load, policy, seed):
+    """Return the share of the total worth that callers got under a policy.
 
     Parameters
     ----------
@@ -154,32 +155,32 @@
     seed : int
     """
     if load == "wide":
-        return _share(_make_wide_load(policy, seed), WIDE_PLAYED_S)
-    times = HEAVY_TIMES if load == "heavy" else 1.0
+        return _earned_share(_make_wide_load(policy, seed), WIDE_SIMULATED_S)
+    load_factor = HEAVY_LOAD_FACTOR if load == "heavy" else 1.0
     workers = make_workers(N_CPU, service="cpu", cpu_milli=64_000, memory_mb=131_072)
-    played = LoadPlay(
-        kinds=make_processor_kinds(times) + make_accelerator_kinds(times),
+    simulation = LoadSimulation(
+        kinds=make_processor_kinds(load_factor) + make_accelerator_kinds(load_factor),
         workers=workers + make_accelerator_workers(),
         policy=policy,
         length_s=LENGTH_S,
-        speeds=dict.fromkeys(SLOW, SLOW_SPEED) if load == "slow workers" else None,
+        speeds=dict.fromkeys(SLOW_WORKERS, SLOW_SPEED) if load == "slow workers" else None,
         random_state=seed,
     )
-    return _share(played, PLAYED_S)
+    return _earned_share(simulation, SIMULATED_S)
 
 
 def _make_wide_load(policy, seed):
-    return LoadPlay(
+    return LoadSimulation(
         kinds=make_wide_kinds(1.0),
         workers=make_wide_workers(),
         policy=policy,
-        n_advice_callers=N_WIDE_ADVISERS,
+        n_advice_callers=N_WIDE_ADVICE_CALLERS,
         length_s=WIDE_LENGTH_S,
         random_state=seed,
     )
 
 
-def _share(played, until_s):
-    """Play a load; return the share of all worth that callers got."""
-    results = played.play(until_s).values()
+def _earned_share(simulation, until_s):
+    """Run a simulation; return the share of the total worth that callers got."""
+    results = simulation.run_until(until_s).values()
     return sum(each.earned for each in results) / sum(each.owed for each in results)
--- a/anvilflow/standins/_network.py
+++ b/anvilflow/standins/_network.py
@@ -1,4 +1,4 @@
-"""Connections in memory, under a virtual clock, that can be cut and silenced."""
+"""Connections in memory, under a virtual clock, that can be cut or blocked in one direction."""
 
 from collections import Counter
 
@@ -11,12 +11,12 @@
 )
 from twisted.python.failure import Failure
 
-#: Processor time of one write or read of a kept connection: a system call. Unit: seconds.
+#: Processor time of the system call of one write or read on a kept connection. Unit: seconds.
 WRITE_S = 2e-5
 
 
 class _Pipe:
-    """One end's transport: what is written arrives at the other end after the delay, in order."""
+    """Transport at one end: written bytes arrive at the other end after the delay, in order."""
 
     disconnecting = False
 
@@ -31,8 +31,8 @@
         self._is_sending = False
 
     def write(self, data):
-        """Send bytes; over a silenced way they vanish."""
-        if self.closed or self.network.is_silent(self.here, self.there):
+        """Send bytes; they are lost if the direction is blocked."""
+        if self.closed or self.network.is_blocked(self.here, self.there):
             return
         self.network.count(self.here, self.there, len(data))
         if self.network.is_limited(self.here, self.there):
@@ -43,44 +43,44 @@
             self.network.later(self.here, self.there, self.other.receive, data)
 
     def _send_queued(self):
-        """Carry all that waits over both ends' links; what is written later follows it."""
+        """Transmit all queued bytes over both ends' links; bytes written later follow."""
         data = b"".join(self._queued)
         self._queued.clear()
         self._is_sending = True
-        self.network.carry(self.here, self.there, len(data), lambda: self._sent(data))
+        self.network.transmit(self.here, self.there, len(data), lambda: self._sent(data))
 
     def _sent(self, data):
         self._is_sending = False
-        if not self.network.is_silent(self.here, self.there):
+        if not self.network.is_blocked(self.here, self.there):
             self.network.later(self.here, self.there, self.other.receive, data)
         if self._queued and not self.closed:
             self._send_queued()
 
     def receive(self, data):
-        """Hand bytes to this end's protocol."""
+        """Pass bytes to this end's protocol."""
         if not self.closed:
             self.protocol.dataReceived(data)
 
     def abortConnection(self):
-        """Close both ends; a silenced way carries no end either."""
+        """Close both ends; if the direction is blocked, only this one."""
         if self.closed:
             return
         self._close(ConnectionAborted())
-        if not self.network.is_silent(self.here, self.there):
+        if not self.network.is_blocked(self.here, self.there):
             self.network.later(self.here, self.there, self.other.peer_closed)
 
     loseConnection = abortConnection
 
     def peer_closed(self):
-        """The other end closed."""
+        """Handle the close of the other end."""
         if not self.closed:
             self._close(ConnectionDone())
 
     def setTcpNoDelay(self, enabled):
-        """Nothing to do in memory."""
+        """Do nothing: the option has no meaning in memory."""
 
     def registerProducer(self, producer, streaming):
-        """Never asks the producer to pause."""
+        """Do nothing: the producer is never paused."""
 
     def _close(self, reason):
         self.closed = True
@@ -90,35 +90,35 @@
 
 
 class MemoryNetwork:
-    """Listens and dials between instances of one process.
+    """Network between the instances in one process.
 
     Parameters
     ----------
     clock : Clock
     random_state : random.Random
     delay_s : float, default=0.001
-        Least delay one way; up to as much again is added at random. Unit: seconds.
-    silent_dials_hang : bool, default=False
-        Whether a connection over a silenced way is only given up after its time, as over a real
-        cut, and not refused at once.
+        Minimum one-way delay; a random delay of up to the same length is added. Unit: seconds.
+    blocked_dials_time_out : bool, default=False
+        Whether a connection attempt in a blocked direction fails only after its timeout, as in a
+        real partition, instead of being refused at once.
 
     Notes
     -----
-    `links` and `send_links` are slow links that bytes arrive and leave over, by instance; others
-    have no limit. `bytes` counts what was sent, by both ends.
+    `links` and `send_links` hold the slow links for received and sent bytes, by instance; other
+    instances have no limit. `bytes` counts the sent bytes, by sender and receiver.
     """
 
-    def __init__(self, *, clock, random_state, delay_s=0.001, silent_dials_hang=False):
+    def __init__(self, *, clock, random_state, delay_s=0.001, blocked_dials_time_out=False):
         self.clock = clock
         self.random_state = random_state
         self.delay_s = delay_s
-        self.silent_dials_hang = silent_dials_hang
+        self.blocked_dials_time_out = blocked_dials_time_out
         self.links = {}
         self.send_links = {}
         self.bytes = Counter()
         self.pipes = {}
         self._listeners = {}
-        self._silent = set()
+        self._blocked = set()
         self._arrivals = {}
         self._clocks = {}
 
@@ -128,35 +128,35 @@
 
     def cut(self, name):
         """Close every connection of a killed instance, as its kernel does."""
-        self.forget(name)
+        self.stop_listening(name)
         for pipe in [pipe for pipe in self.pipes if pipe.here == name]:
             pipe.closed = True
             self.pipes.pop(pipe, None)
-            if not self.is_silent(pipe.here, pipe.there):
+            if not self.is_blocked(pipe.here, pipe.there):
                 self.later(name, pipe.there, pipe.other.peer_closed)
 
-    def silence(self, here, there):
-        """Let nothing through from `here` to `there` any more, on old and new connections."""
-        self._silent.add((here, there))
+    def block(self, here, there):
+        """Drop everything sent from `here` to `there`, on old and new connections."""
+        self._blocked.add((here, there))
 
-    def unsilence(self, here, there):
-        """Let everything through that way again."""
-        self._silent.discard((here, there))
+    def unblock(self, here, there):
+        """Stop dropping what is sent from `here` to `there`."""
+        self._blocked.discard((here, there))
 
     def heal(self):
-        """Let everything through again."""
-        self._silent.clear()
+        """Unblock all directions."""
+        self._blocked.clear()
 
-    def is_silent(self, here, there):
-        """Whether the way is silenced."""
-        return (here, there) in self._silent
+    def is_blocked(self, here, there):
+        """Return whether the direction is blocked."""
+        return (here, there) in self._blocked
 
     def add_clock(self, name, clock):
-        """Deliver to the instance `name` on its own clock, so that its pause holds back bytes."""
+        """Deliver to the instance `name` on its own clock, so that a pause delays the bytes."""
         self._clocks[name] = clock
 
     def later(self, here, there, call, *args):
-        """Call after the delay, not before what was sent earlier from the same place."""
+        """Schedule a call after the delay, but not before earlier ones from the same sender."""
         now = self.clock.seconds()
         arrival = now + self.delay_s * (1 + self.random_state.random())
         arrival = max(arrival, self._arrivals.get(here, 0.0))
@@ -164,16 +164,16 @@
         self._clocks.get(there, self.clock).callLater(arrival - now, call, *args)
 
     def is_limited(self, here, there):
-        """Whether bytes on the way go over a slow link."""
+        """Return whether bytes in this direction pass a slow link."""
         return here in self.send_links or there in self.links
 
-    def carry(self, here, there, n_bytes, on_end):
-        """Carry bytes over the link of the sender, then over that of the receiver."""
+    def transmit(self, here, there, n_bytes, on_end):
+        """Transmit bytes over the sender's link, then over the receiver's."""
         links = [link for link in (self.send_links.get(here), self.links.get(there)) if link]
-        _carry_over(links, n_bytes, on_end)
+        _send_over(links, n_bytes, on_end)
 
     def count(self, here, there, n_bytes):
-        """Count bytes, and the processor time of the write and of the read."""
+        """Count bytes, and charge both ends the processor time of the write and of the read."""
         self.bytes[here, there] += n_bytes
         for name in (here, there):
             clock = self._clocks.get(name)
@@ -185,18 +185,18 @@
         self._listeners[name] = factory
         return _Port(network=self, name=name)
 
-    def forget(self, name):
-        """Accept no more."""
+    def stop_listening(self, name):
+        """Stop accepting connections to `name`."""
         self._listeners.pop(name, None)
 
     def dial(self, here, there, protocol, timeout=0.0):
         """Connect `protocol` to the instance `there`."""
-        if self.silent_dials_hang and self.is_silent(here, there):
-            given_up = Deferred()
+        if self.blocked_dials_time_out and self.is_blocked(here, there):
+            pending = Deferred()
             clock = self._clocks.get(here, self.clock)
-            clock.callLater(timeout, given_up.errback, TCPTimedOutError())
-            return given_up
-        if there not in self._listeners or self.is_silent(here, there):
+            clock.callLater(timeout, pending.errback, TCPTimedOutError())
+            return pending
+        if there not in self._listeners or self.is_blocked(here, there):
             return fail(ConnectionRefusedError())
         near = _Pipe(network=self, here=here, there=there)
         far = _Pipe(network=self, here=there, there=here)
@@ -204,7 +204,7 @@
         near.protocol, far.protocol = protocol, self._listeners[there].buildProtocol(None)
         self.pipes.update({near: None, far: None})
         near.protocol.makeConnection(near)
-        # The kernel accepts for a paused process; its side of the connection begins on its clock.
+        # The kernel accepts for a paused process; the process sees the connection on its own clock.
         self.later(here, there, self._accept, far)
         return succeed(protocol)
 
@@ -213,12 +213,12 @@
             pipe.protocol.makeConnection(pipe)
 
 
-def _carry_over(links, n_bytes, on_end):
+def _send_over(links, n_bytes, on_end):
     if not links:
         on_end()
         return
     link, *others = links
-    link.receive(n_bytes, on_data=lambda: None, on_end=lambda: _carry_over(others, n_bytes, on_end))
+    link.receive(n_bytes, on_data=lambda: None, on_end=lambda: _send_over(others, n_bytes, on_end))
 
 
 class _Port:
@@ -227,12 +227,12 @@
         self.name = name
 
     def stopListening(self):
-        """Accept no more."""
-        self.network.forget(self.name)
+        """Stop accepting connections."""
+        self.network.stop_listening(self.name)
 
 
 class _View:
-    """The network as one instance uses it."""
+    """The network as seen by one instance."""
 
     def __init__(self, *, network, name):
         self.network = network
@@ -245,5 +245,5 @@
         return self.network.listen(self.name, factory), self.name
 
     def dial(self, address, protocol, timeout):
-        """Connect to the instance whose address is its name."""
+        """Connect to the instance `address`: an instance's address is its name."""
         return self.network.dial(self.name, address, protocol, timeout)
--- a/anvilflow/standins/_objects.py
+++ b/anvilflow/standins/_objects.py
@@ -4,7 +4,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from ..exceptions import AnvilflowError, NotFoundError, PlatformUnavailableError
-from ._faults import answered_on
+from ._faults import deliver_on_clock
 
 _TIMEOUT_S = 2.0
 
@@ -70,7 +70,7 @@
         return self._call(self.state.get, key, changes=False)
 
     def _call(self, act, *args, changes=True):
-        return answered_on(
+        return deliver_on_clock(
             self.clock,
             self.faults.around(act, *args, changes=changes),
             timeout=_TIMEOUT_S,
--- a/anvilflow/standins/_pausable_clock.py
+++ b/anvilflow/standins/_pausable_clock.py
@@ -1,10 +1,10 @@
-"""A clock whose calls can be held back, as in a process that is paused or short of processor."""
+"""A clock that can delay its calls, as in a process that is paused or short of processor time."""
 
 import time
 from collections import deque
 
-#: Shorter waits than this are over: sums of times differ by rounding. Unit: seconds.
-_TICK_S = 1e-9
+#: Shorter waits count as over, because sums of times differ by rounding. Unit: seconds.
+_TOLERANCE_S = 1e-9
 
 
 class _Call:
@@ -21,22 +21,22 @@
         self._inner = clock.inner.callLater(delay, self._fire)
 
     def active(self):
-        """Whether the call is still to come."""
+        """Return whether the call is still pending."""
         return self._state != "over"
 
     def cancel(self):
-        """Do not call."""
+        """Cancel the call."""
         if self._inner.active():
             self._inner.cancel()
         self._state = "over"
 
     def reset(self, delay):
-        """Call after `delay` from now instead."""
+        """Reschedule the call to `delay` from now."""
         if self._state == "waiting":
             self._inner.reset(delay)
 
     def run(self):
-        """Call, unless cancelled while held back."""
+        """Make the call, unless it was cancelled while held back."""
         if self._state != "over":
             self._state = "over"
             self.call(*self.args, **self.kwargs)
@@ -44,7 +44,7 @@
     def _fire(self):
         if self._clock.paused:
             self._state = "held"
-            if not self._clock.dead:
+            if not self._clock.killed:
                 self._clock.held.append(self)
         else:
             self._state = "held"
@@ -60,10 +60,10 @@
 
     Notes
     -----
-    `call_s` is the processor time that each call takes, 0 for a processor without limit: calls
-    that fall due meanwhile wait in their order. With `processor_share`, the share of this machine's
-    processor that the process has, calls take as long as they are measured to take, so that a run
-    does not repeat exactly. `spent_s` is what all calls took. Unit: seconds.
+    `call_s` is the processor time of each call, 0 for unlimited processor time: calls that fall
+    due meanwhile wait in order. If `processor_share`, the process's share of this machine's
+    processor, is set, calls take their measured processor time, so that runs are not exactly
+    repeatable. `spent_s` is the processor time of all calls. Unit: seconds.
     """
 
     def __init__(self, *, inner):
@@ -75,27 +75,28 @@
         self._is_running = False
         self._waiting = deque()
         self.paused = False
-        self.dead = False
+        self.killed = False
         self.held = []
 
     def seconds(self):
-        """Return the shared time: a paused process finds on waking that time went on."""
+        """Return the shared time, which also advances during a pause."""
         return self.inner.seconds()
 
     def callLater(self, delay, call, *args, **kwargs):
-        """Call after `delay`, or as soon as the pause is over."""
+        """Schedule a call after `delay`, or at the end of the pause if the clock is paused then."""
         return _Call(clock=self, delay=delay, call=call, args=args, kwargs=kwargs)
 
     def charge(self, seconds):
-        """Count processor time; calls that fall due meanwhile wait."""
+        """Charge processor time; calls that fall due meanwhile wait."""
         if self.processor_share is not None:
             self.spent_s += seconds
-            # Within a call it goes on from there: the steps of virtual time are longer than most.
+            # Charges during a call add up from `_free_at`, because the steps of virtual time are
+            # longer than most calls.
             begins_at = self._free_at if self._is_running else self.inner.seconds()
             self._free_at = max(begins_at, self._free_at) + seconds / self.processor_share
 
     def run_in_turn(self, call):
-        """Make a call once the processor is free."""
+        """Make a call when the processor is free."""
         if self.processor_share is None and not self.call_s:
             self._run(call)
             return
@@ -104,9 +105,9 @@
             self._run_next()
 
     def _run_next(self):
-        while self._waiting and not self.dead:
+        while self._waiting and not self.killed:
             wait_s = self._free_at - self.inner.seconds()
-            if wait_s > _TICK_S:
+            if wait_s > _TOLERANCE_S:
                 self.inner.callLater(wait_s, self._run_next)
                 return
             due_at, call = self._waiting[0]
@@ -116,7 +117,7 @@
 
     def _run(self, call):
         if self.paused:
-            if not self.dead:
+            if not self.killed:
                 self.held.append(call)
             return
         began = time.process_time()
@@ -130,13 +131,13 @@
         self.paused = True
 
     def kill(self):
-        """Make no call ever again, as a process does that is killed."""
+        """Make no further calls, like a killed process."""
         self.paused = True
-        self.dead = True
+        self.killed = True
 
     def resume(self):
-        """Make the calls that were held back, in their order."""
-        if self.dead:
+        """End the pause and make the held-back calls in order."""
+        if self.killed:
             return
         self.paused = False
         held, self.held = self.held, []
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -125,7 +125,7 @@
         self.clock = VirtualClock()
         self.wire = WireNetwork(clock=self.clock)
         self.network = MemoryNetwork(
-            clock=self.clock, random_state=self.random_state, silent_dials_hang=True
+            clock=self.clock, random_state=self.random_state, blocked_dials_time_out=True
         )
         self.store = MetadataStore(clock=self.clock)
         self.store_faults = self.wire.serve(STORE, self.store)
@@ -268,15 +268,15 @@
     def power_on(self, name):
         """Start an instance on a machine that had no power; it reaches those that run."""
         for other in self.daemons:
-            self.network.unsilence(name, other)
-            self.network.unsilence(other, name)
+            self.network.unblock(name, other)
+            self.network.unblock(other, name)
         return self.start_instance(name)
 
     def isolate(self, name):
         """Cut an instance off from all others, silently."""
         for other in self.clocks:
-            self.network.silence(name, other)
-            self.network.silence(other, name)
+            self.network.block(name, other)
+            self.network.block(other, name)
 
     def pause(self, name):
         """Stop an instance in its tracks."""
--- a/anvilflow/standins/_samples.py
+++ b/anvilflow/standins/_samples.py
@@ -13,7 +13,7 @@
 
 
 def make_declarations(customers=("small", "large"), *, reserve=0.25, quota=None):
-    """Return policies, the customers and one workload of each kind.
+    """Return three policies, the customers and one workload of each kind.
 
     Parameters
     ----------
@@ -21,7 +21,7 @@
     reserve : float, default=0.25
         Share of each worker kept free for service requests.
     quota : Amounts, default=None
-        Of each customer.
+        Quota of each customer.
 
     Examples
     --------
--- a/anvilflow/standins/_server.py
+++ b/anvilflow/standins/_server.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in over HTTP."""
+"""HTTP server of the stand-ins."""
 
 import msgspec
 from klein import Klein
@@ -8,7 +8,7 @@
 from ..exceptions import AnvilflowError
 from ..utils import decode_lenient, encode
 
-#: Calls that change nothing.
+#: Paths of the calls that change nothing.
 _READS = {"read", "scan", "members"}
 
 
--- a/anvilflow/standins/_slow_link.py
+++ b/anvilflow/standins/_slow_link.py
@@ -1,24 +1,24 @@
-"""A link of limited bandwidth, which all answers that one process receives share."""
+"""A link of limited bandwidth that one process's transfers in one direction share."""
 
 from collections import deque
 
-#: Period in which bytes arrive. Unit: seconds.
+#: Period at which bytes arrive. Unit: seconds.
 TICK_S = 0.01
 
-#: What one sender puts on the link at once; its next bytes queue behind those of all others.
+#: Bytes that one sender puts on the link at once; its next bytes queue behind all other senders'.
 #: Unit: bytes.
 WINDOW_BYTES = 16_384
 
 
 class Transfer:
-    """One answer's body on its way.
+    """Transfer of one body over the link.
 
     Parameters
     ----------
     n_bytes : float
-        What is still to come.
+        Bytes still to be transmitted.
     on_data, on_end : callable
-        Called with each piece, and after the last one.
+        Called after each piece, and after the last one.
     """
 
     __slots__ = ("n_bytes", "on_data", "on_end", "window")
@@ -31,7 +31,7 @@
 
 
 class SlowLink:
-    """Carries the windows of all transfers under way one after the other.
+    """Transmits the windows of all transfers in progress one after the other.
 
     Parameters
     ----------
@@ -40,7 +40,7 @@
 
     Notes
     -----
-    `n_bytes` counts what has arrived.
+    `n_bytes` counts the bytes that have arrived.
     """
 
     def __init__(self, *, clock, bytes_per_s):
@@ -52,11 +52,11 @@
 
     @property
     def n_transfers(self):
-        """Number of transfers under way."""
+        """Number of transfers in progress."""
         return len(self._transfers)
 
     def receive(self, n_bytes, *, on_data, on_end):
-        """Begin a transfer; return it."""
+        """Start a transfer; return it."""
         transfer = Transfer(n_bytes=n_bytes, on_data=on_data, on_end=on_end)
         self._transfers.append(transfer)
         if not self._ticking:
@@ -65,20 +65,20 @@
         return transfer
 
     def drop(self, transfer):
-        """End a transfer: its connection is closed."""
+        """Drop a transfer whose connection is closed."""
         if transfer in self._transfers:
             self._transfers.remove(transfer)
 
     def _tick(self):
         left = self.bytes_per_s * TICK_S
         while left > 0 and self._transfers:
-            left -= self._carry(self._transfers[0], left)
+            left -= self._transmit(self._transfers[0], left)
         self._ticking = bool(self._transfers)
         if self._ticking:
             self.clock.callLater(TICK_S, self._tick)
 
-    def _carry(self, transfer, n_bytes):
-        """Carry bytes of the first transfer's window; return how many."""
+    def _transmit(self, transfer, n_bytes):
+        """Transmit bytes of the first transfer's window; return the bandwidth used, in bytes."""
         window = transfer.window = transfer.window or min(WINDOW_BYTES, transfer.n_bytes)
         share = min(n_bytes, window)
         transfer.n_bytes -= share
--- a/anvilflow/standins/_table.py
+++ b/anvilflow/standins/_table.py
@@ -8,10 +8,10 @@
 from ..exceptions import PlatformUnavailableError, PreconditionError
 from ..resources import resource_key
 from ..utils import to_builtins
-from ._faults import answered_on
+from ._faults import deliver_on_clock
 from ._server import make_app
 
-#: Wait of a client in memory for an answer. Unit: seconds.
+#: Time that a client in memory waits for a response. Unit: seconds.
 _TIMEOUT_S = 2.0
 
 
@@ -45,7 +45,7 @@
         return found
 
     def declare(self, resources):
-        """Put resources there as if they had been accepted one after the other."""
+        """Store resources as if they had been accepted one after the other."""
         writes = []
         for revision, resource in enumerate(resources, start=1):
             key = resource_key(resource)
@@ -72,18 +72,18 @@
         return self.version
 
 
-class _Rate:
-    """Delays calls beyond a rate, as the service does."""
+class _RateLimiter:
+    """Delays calls that exceed a rate, as the service does."""
 
     def __init__(self, *, clock, per_second):
         self.clock = clock
-        self.gap = 1.0 / per_second
+        self.interval_s = 1.0 / per_second
         self.next_free = 0.0
 
     def wait(self):
         """Return the delay of the next call."""
         now = self.clock.seconds()
-        self.next_free = max(now, self.next_free + self.gap)
+        self.next_free = max(now, self.next_free + self.interval_s)
         return max(0.0, self.next_free - now)
 
 
@@ -96,15 +96,15 @@
     state : TableState
     faults : Faults
     commits_per_s, reads_per_s : float
-        Rates beyond which calls wait.
+        Rates above which calls are delayed.
     """
 
     def __init__(self, *, clock, state, faults, commits_per_s=400.0, reads_per_s=2000.0):
         self.clock = clock
         self.state = state
         self.faults = faults
-        self._commits = _Rate(clock=clock, per_second=commits_per_s)
-        self._reads = _Rate(clock=clock, per_second=reads_per_s)
+        self._commits = _RateLimiter(clock=clock, per_second=commits_per_s)
+        self._reads = _RateLimiter(clock=clock, per_second=reads_per_s)
         self.app = make_app(
             {"read": self._read, "scan": self._scan, "commit": self._commit}, faults
         )
@@ -164,7 +164,7 @@
 
     @inlineCallbacks
     def commit(self, conditions, writes):
-        """Write all or nothing."""
+        """Write all rows if all conditions hold, else none."""
         self.n_commits += 1
         self.n_written += len(writes)
         version = yield self._call(
@@ -175,7 +175,7 @@
         return version
 
     def _call(self, act, *args, changes=True):
-        return answered_on(
+        return deliver_on_clock(
             self.clock,
             self.faults.around(act, *args, changes=changes),
             timeout=_TIMEOUT_S,
--- a/anvilflow/standins/_virtual_clock.py
+++ b/anvilflow/standins/_virtual_clock.py
@@ -1,4 +1,4 @@
-"""A virtual clock for many delayed calls."""
+"""A virtual clock that stays fast with many delayed calls."""
 
 import heapq
 from itertools import count
@@ -10,10 +10,10 @@
 
 @implementer(IReactorTime)
 class VirtualClock:
-    """Time that passes with :meth:`advance`; calls that are due at the same time keep their order.
+    """Time that :meth:`advance` moves on; calls that are due at the same time keep their order.
 
-    The framework's own sorts all calls again with each new one, which took a third of a run of a
-    whole cell.
+    Twisted's own clock sorts all calls again for each new call, which took a third of the run time
+    of a simulated cell.
     """
 
     def __init__(self):
@@ -26,26 +26,26 @@
         return self._now
 
     def callLater(self, delay, call, *args, **kwargs):
-        """Call after `delay`."""
+        """Schedule a call after `delay`."""
         delayed = DelayedCall(
-            self._now + delay, call, args, kwargs, _forget, self._push, self.seconds
+            self._now + delay, call, args, kwargs, _ignore_cancellation, self._push, self.seconds
         )
         self._push(delayed)
         return delayed
 
     def getDelayedCalls(self):
-        """Return the calls that are still to come."""
+        """Return the pending calls."""
         return [delayed for _, _, delayed in self._heap if delayed.active()]
 
     def advance(self, seconds):
-        """Let time pass, and make the calls that fall due."""
+        """Advance the time, and make the calls that fall due."""
         self._now += seconds
         while self._heap and self._heap[0][0] <= self._now:
             at, _, delayed = heapq.heappop(self._heap)
             if not delayed.active():
                 continue
             if delayed.getTime() > at:
-                # It was put off meanwhile.
+                # The call was rescheduled to a later time.
                 self._push(delayed)
                 continue
             delayed.called = 1
@@ -55,5 +55,5 @@
         heapq.heappush(self._heap, (delayed.getTime(), next(self._numbers), delayed))
 
 
-def _forget(_):
-    """A cancelled call is dropped when its time comes."""
+def _ignore_cancellation(_):
+    """Do nothing: :meth:`advance` drops a cancelled call when it falls due."""
--- a/anvilflow/standins/_worker.py
+++ b/anvilflow/standins/_worker.py
@@ -14,7 +14,7 @@
 from ..history import RunBegan, RunEnded, WorkerKnown
 from ..resources import Amounts
 from ..utils import decode_lenient, encode
-from ._faults import answered_on
+from ._faults import deliver_on_clock
 from ._server import make_app
 
 #: Wait of a client in memory for the answer to a control call. Unit: seconds.
@@ -267,7 +267,7 @@
     @inlineCallbacks
     def _call(self, act, *args, timeout=_TIMEOUT_S):
         try:
-            result = yield answered_on(
+            result = yield deliver_on_clock(
                 self.clock,
                 self.state.faults.around(act, *args),
                 timeout=timeout,
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -20,7 +20,7 @@
 from statistics import mean, stdev
 
 from anvilflow.jobs import SchedulingPolicy
-from anvilflow.standins import play_load
+from anvilflow.standins import simulate_load
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -91,7 +91,7 @@
 
 def play_loads(args, load, _, policy):
     """Return the share of worth that callers got, by seed."""
-    play = partial(play_load, load, SchedulingPolicy(**policy))
+    play = partial(simulate_load, load, SchedulingPolicy(**policy))
     with ProcessPoolExecutor(args.jobs) as pool:
         return list(pool.map(play, range(args.seeds)))
 
