--- a/anvilflow/cell/tests/test_added_queue.py
+++ b/anvilflow/cell/tests/test_added_queue.py
@@ -123,7 +123,7 @@
     cell.advance(1.0)
     _kill_leader_without_successor(monkeypatch, cell)
     cell.advance(3.0)
-    cell.store.forget_history()
+    cell.store.drop_history()
     assert _pending_count(cell, next(iter(cell.daemons))) == 1
     assert cell.errors == []
 
@@ -183,7 +183,7 @@
     name = next(iter(cell.daemons))
     cell.submit(name, f"{1:016x}", {"count": 1, "cpu": 500}, spec="0.1 done 500")
     cell.advance(0.5)
-    cell.store.forget_history()
+    cell.store.drop_history()
     cell.advance(1.0)
     assert _pending_count(cell, name) == 1
 
@@ -200,7 +200,7 @@
     cell = make_cell(n_instances=4)
     cell.advance(waited_s)
     for name in cell.daemons:
-        cell.wire.silence(name)
+        cell.wire.drop_pending_answers(name)
     cell.advance(lead_s)
     cell.store.put("op", "config", _CONFIG_WITH_ADDED_QUEUE)
     cell.advance(max(CONFIG_APPLY_S, RECOVERY_S - lead_s))
--- a/anvilflow/cell/tests/test_cancelling.py
+++ b/anvilflow/cell/tests/test_cancelling.py
@@ -96,7 +96,7 @@
     now = cell.clock.seconds()
     for worker in cell.workers.values():
         worker.n_late_stops = 2
-        worker.deaf_between = (now, now + 5.0) if ignores_renewals else (0.0, 0.0)
+        worker.renewals_unanswered_between = (now, now + 5.0) if ignores_renewals else (0.0, 0.0)
     _delay_starts(cell, 2.4)
     cell.submit(cell.other(), JOB, ONE_TASK, spec=LONG_TASK)
     cell.advance(cancelled_at)
--- a/anvilflow/cell/tests/test_drawn_crashes.py
+++ b/anvilflow/cell/tests/test_drawn_crashes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from anvilflow.standins import PlatformCell, find_broken_runs
+from anvilflow.standins import PlatformCell, find_violations
 
 from ._helpers import max_starts_after_third_crash
 
@@ -75,7 +75,7 @@
                 cell.advance(STEP_S)
             act(subject)
         self._mark_unacknowledged_ends()
-        broken = find_broken_runs(cell.spans, cell.workers, capacity_delay_s=CAPACITY_DELAY_S)
+        broken = find_violations(cell.spans, cell.workers, capacity_delay_s=CAPACITY_DELAY_S)
         if max_starts_after_third_crash(cell) > 2:
             broken.append("a task was started too often after its third crash")
         return broken + self._check_states()
@@ -83,7 +83,7 @@
     def _mark_unacknowledged_ends(self):
         """Mark completed runs whose end no leader acknowledged: their tasks are started again."""
         for span in self.cell.spans:
-            if (span.task, span.run_id) in self.cell.workers[span.worker].untold_ends:
+            if (span.task, span.run_id) in self.cell.workers[span.worker].unacknowledged_ends:
                 span.how = "untold" if span.how == "done" else span.how
 
     def _check_states(self):
--- a/anvilflow/cell/tests/test_drawn_faults.py
+++ b/anvilflow/cell/tests/test_drawn_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from anvilflow.jobs import Scheduler
-from anvilflow.standins import OrderCall, PlatformCell
+from anvilflow.standins import PlatformCell, WorkerCall
 
 from ._helpers import find_runs_after_cancelling
 
@@ -46,7 +46,7 @@
         self.events = sorted(self._draw_events(), key=lambda event: event[0])
 
     def _draw_delay(self, path):
-        is_command = path in (OrderCall.START, OrderCall.STOP)
+        is_command = path in (WorkerCall.START, WorkerCall.STOP)
         if is_command and self.random_state.random() < LATE_SHARE:
             return self.random_state.uniform(*LATE_RANGE_S)
         return None
--- a/anvilflow/cell/tests/test_faults.py
+++ b/anvilflow/cell/tests/test_faults.py
@@ -282,7 +282,7 @@
     queues = [{"name": "new", "prefix": "/new/"}]
     cell.store.put("op", "config", make_platform_config(2, queues=queues))
     cell.add_worker("i-9", "w9:1")
-    cell.store.forget_history()
+    cell.store.drop_history()
     cell.advance(4.0)
     cell.store_faults.clear()
     cell.advance(1.5)
@@ -341,9 +341,9 @@
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.5 done 1000")
     cell.advance(0.3)
     cell.store_faults.status = 503
-    before = cell.workers["i-0"].n_holds
+    before = cell.workers["i-0"].n_renewals
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before < 5.0 / _session.MAX_UNRECORDED_WAIT_S + 10
+    assert cell.workers["i-0"].n_renewals - before < 5.0 / _session.MAX_UNRECORDED_WAIT_S + 10
 
 
 def test_unresponsive_leader_is_replaced_within_a_lease():
--- a/anvilflow/cell/tests/test_late_answers.py
+++ b/anvilflow/cell/tests/test_late_answers.py
@@ -10,7 +10,7 @@
 from anvilflow.cell._session import WorkerSession
 from anvilflow.exceptions import WorkerUnreachableError
 from anvilflow.jobs import StopRun
-from anvilflow.standins import OrderCall
+from anvilflow.standins import WorkerCall
 
 from ._helpers import make_cell
 
@@ -88,7 +88,7 @@
     monkeypatch.setattr(_fleet.Fleet, "may_retry", count_retry)
     cell = make_cell(n_workers=24, cpu=64_000)
     for worker in cell.workers.values():
-        worker.draw_delay = lambda path: 30.0 if path == OrderCall.START else None
+        worker.draw_delay = lambda path: 30.0 if path == WorkerCall.START else None
     for number in range(40):
         cell.submit(cell.other(), f"{number:016x}", {"count": 8, "cpu": 500})
     cell.advance(2.0)
--- a/anvilflow/cell/tests/test_standby_tables.py
+++ b/anvilflow/cell/tests/test_standby_tables.py
@@ -80,7 +80,7 @@
     cell = make_cell(n_instances=5, weak=NAMES)
     cell.advance(2.0)
     cell.store.put("jobs", "unreadable", 1, part="jobs-00")
-    cell.store.forget_history()
+    cell.store.drop_history()
     former = cell.leader()
     cell.kill(former)
     cell.advance(2.0)
--- a/anvilflow/cell/tests/test_worker_faults.py
+++ b/anvilflow/cell/tests/test_worker_faults.py
@@ -138,7 +138,7 @@
     cell = PlatformCell(n_instances=2, n_workers=2, cpu=4000)
     for worker in cell.workers.values():
         worker.n_lost_starts = 1
-        worker.deaf_between = (1.0, 2.5)
+        worker.renewals_unanswered_between = (1.0, 2.5)
     cell.start()
     cell.submit("a0", JOB, {"count": 6, "cpu": 1000, "gang": True}, spec="2.0 done 1000")
     cell.advance(8.0)
@@ -158,7 +158,7 @@
     cell = PlatformCell(n_instances=2, n_workers=2)
     for worker in cell.workers.values():
         worker.n_lost_starts = 1
-        worker.deaf_between = (1.0, 2.2)
+        worker.renewals_unanswered_between = (1.0, 2.2)
     cell.start()
     cell.submit("a0", JOB, {"count": 1, "cpu": 1000}, spec="0.1 done 1000")
     cell.advance(6.0)
@@ -248,9 +248,9 @@
     cell.advance(0.7)
     cell.store.put("servers", "i-0", cell.workers["i-0"].entry())
     cell.advance(1.0)
-    before = cell.workers["i-0"].n_holds
+    before = cell.workers["i-0"].n_renewals
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before <= 11
+    assert cell.workers["i-0"].n_renewals - before <= 11
 
 
 @pytest.mark.parametrize("safeguard", [True, False])
@@ -274,9 +274,9 @@
     assert ("i-0" in leader._scheduler.workers) is safeguard
     cell.store.put("servers", "i-0", cell.workers["i-0"].entry())
     cell.advance(1.0)
-    before = cell.workers["i-0"].n_holds
+    before = cell.workers["i-0"].n_renewals
     cell.advance(5.0)
-    assert cell.workers["i-0"].n_holds - before < 1.5 * 5.0 / _session.RENEWAL_WAIT_S
+    assert cell.workers["i-0"].n_renewals - before < 1.5 * 5.0 / _session.RENEWAL_WAIT_S
 
 
 def _drop_workers(self, now):
--- a/anvilflow/standins/__init__.py
+++ b/anvilflow/standins/__init__.py
@@ -17,13 +17,13 @@
 from ._metadata_store import MetadataStore, StoreCall
 from ._network import MemoryNetwork
 from ._objects import MemoryObjects, ObjectServer, ObjectState
-from ._order_worker import AdviceServer, OrderCall, OrderWorker, RunSpan
 from ._platform_cell import (
     PlatformCell,
-    find_broken_runs,
+    find_violations,
     make_job_body,
     make_platform_config,
 )
+from ._platform_worker import AdviceServer, PlatformWorker, RunSpan, WorkerCall
 from ._samples import make_declarations
 from ._server import listen
 from ._table import MemoryTable, TableServer, TableState
@@ -48,9 +48,8 @@
     "MetadataStore",
     "ObjectServer",
     "ObjectState",
-    "OrderCall",
-    "OrderWorker",
     "PlatformCell",
+    "PlatformWorker",
     "RunSpan",
     "StoreCall",
     "TableServer",
@@ -59,9 +58,10 @@
     "WireClient",
     "WireFaults",
     "WireNetwork",
+    "WorkerCall",
     "WorkerServer",
     "WorkerState",
-    "find_broken_runs",
+    "find_violations",
     "listen",
     "make_accelerator_kinds",
     "make_accelerator_workers",
--- a/anvilflow/standins/_metadata_store.py
+++ b/anvilflow/standins/_metadata_store.py
@@ -37,7 +37,7 @@
         self.history_from = 0
         self.n_writes = 0
         self.n_reads = 0
-        self._waiting = []
+        self._waiters = []
 
     def handle(self, method, path, query, body, headers):
         """Answer a call."""
@@ -62,7 +62,7 @@
         """Remove a row."""
         return self._write([(table, part, key, None)])
 
-    def forget_history(self):
+    def drop_history(self):
         """Drop the history of changes."""
         self.history_from = self.version
 
@@ -93,7 +93,7 @@
             else:
                 self.rows[table, part, key] = (self.version, value)
             self.log.append((self.clock.seconds(), self.version, table, part, key, value))
-        for wake in self._waiting[:]:
+        for wake in self._waiters[:]:
             wake()
         return self.version
 
@@ -128,13 +128,13 @@
 
         def finish(changes):
             if not done.called:
-                self._waiting.remove(wake)
-                if late.active():
-                    late.cancel()
+                self._waiters.remove(wake)
+                if timeout_call.active():
+                    timeout_call.cancel()
                 done.callback((200, encode({"rows": changes, "ver": self.version})))
 
-        self._waiting.append(wake)
-        late = self.clock.callLater(int(query["wait-ms"]) / 1000, finish, [])
+        self._waiters.append(wake)
+        timeout_call = self.clock.callLater(int(query["wait-ms"]) / 1000, finish, [])
         return done
 
     def _changes(self, table, after):
@@ -144,8 +144,8 @@
                 keys[part, key] = value
         changes = []
         for (part, key), value in keys.items():
-            gone = {"table": table, "part": part, "key": key, "tombstone": True}
-            changes.append(gone if value is None else self._wire(table, part, key))
+            tombstone = {"table": table, "part": part, "key": key, "tombstone": True}
+            changes.append(tombstone if value is None else self._wire(table, part, key))
         return changes
 
     def _wire(self, table, part, key):
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -13,8 +13,8 @@
 from ._front_call import FrontCall
 from ._metadata_store import MetadataStore
 from ._network import MemoryNetwork
-from ._order_worker import OrderWorker
 from ._pausable_clock import PausableClock
+from ._platform_worker import PlatformWorker
 from ._virtual_clock import VirtualClock
 from ._wire import WireNetwork
 
@@ -38,7 +38,7 @@
 CAPACITY_CHANGE_DELAY_S = 0.1
 
 #: Share of a core that instances with little processor have.
-WEAK_SHARE = 0.12
+LOW_CPU_SHARE = 0.12
 
 #: Time of day at the start of virtual time. Unit: seconds.
 EPOCH_S = 1_700_000_000.0
@@ -137,7 +137,7 @@
         self.daemons = {}
         self.clocks = {}
         self.errors = []
-        self.sizes = sizes or _sizes_of_payload
+        self.sizes = sizes or _parse_payload
         self.advice = advice
         if advice is not None:
             advice.clock = self.clock
@@ -152,7 +152,7 @@
 
     def add_worker(self, worker_id, address, *, cpu=16000, rack="r0"):
         """Start a worker and let it register."""
-        worker = OrderWorker(
+        worker = PlatformWorker(
             clock=self.clock,
             worker_id=worker_id,
             address=address,
@@ -186,7 +186,7 @@
             store=STORE,
             advice=ADVICE,
             link_mbps=SLOW_LINK_MBPS if name in self.slow else FAST_LINK_MBPS,
-            cpu_share=WEAK_SHARE if name in self.weak else 1.0,
+            cpu_share=LOW_CPU_SHARE if name in self.weak else 1.0,
             cores=1.0,
             scheduling=self.policy,
         )
@@ -334,15 +334,15 @@
 
     def check(self):
         """Return what was broken: two runs at once, runs after a done one, capacity exceeded."""
-        return find_broken_runs(self.spans, self.workers)
+        return find_violations(self.spans, self.workers)
 
 
-def _sizes_of_payload(task, payload):
+def _parse_payload(task, payload):
     seconds, how, cpu = (payload or "1.0 done 1000").split()
     return float(seconds), how, int(cpu)
 
 
-def find_broken_runs(spans, workers, *, capacity_delay_s=CAPACITY_CHANGE_DELAY_S):
+def find_violations(spans, workers, *, capacity_delay_s=CAPACITY_CHANGE_DELAY_S):
     """Return what the runs of some workers broke: twice at once, after done, over capacity.
 
     Starts may use the old capacity until `capacity_delay_s` seconds after a reduction.
@@ -351,20 +351,20 @@
 
 
 def _overlaps(spans):
-    broken = []
+    violations = []
     by_task = {}
     for span in spans:
         for earlier in by_task.setdefault(span.task, []):
             if earlier.ended_at is None or earlier.ended_at > span.began_at:
-                broken.append(f"{span.task} runs on {earlier.worker} and {span.worker}")
+                violations.append(f"{span.task} runs on {earlier.worker} and {span.worker}")
             if earlier.how == "done":
-                broken.append(f"{span.task} runs again after it was done")
+                violations.append(f"{span.task} runs again after it was done")
         by_task[span.task].append(span)
-    return broken
+    return violations
 
 
 def _over_capacity(spans, workers, delay_s):
-    broken = []
+    violations = []
     for worker_id, worker in workers.items():
         moments = []
         for span in spans:
@@ -377,5 +377,5 @@
             used += cpu
             allowed = worker.max_capacity(at, delay_s)
             if cpu > 0 and used > allowed:
-                broken.append(f"{worker_id} has {used} of {allowed} in use at {at:.3f}")
-    return broken
+                violations.append(f"{worker_id} has {used} of {allowed} in use at {at:.3f}")
+    return violations
--- a/anvilflow/standins/_order_worker.py
+++ b/anvilflow/standins/_platform_worker.py
@@ -13,10 +13,10 @@
 STOP_S = 0.3
 
 #: How much later a late start is carried out. Unit: seconds.
-LATE_S = 2.0
+LATE_START_DELAY_S = 2.0
 
 
-class OrderCall(StrEnum):
+class WorkerCall(StrEnum):
     """Calls of a worker's protocol, by their paths."""
 
     START = "/-/run-start"
@@ -41,7 +41,7 @@
     how: str = ""
 
 
-class OrderWorker:
+class PlatformWorker:
     """One life of a worker.
 
     Parameters
@@ -61,7 +61,7 @@
     outcome is `crash` also crashes the worker and calls `on_crash`, if set. Faults of
     single calls are attributes: the next `n_lost_starts` starts are carried out and not answered,
     the next `n_late_starts` and `n_late_stops` are carried out `late_s` later and not answered, and
-    holds that come within `deaf_between` (seconds of true time) get no answer. `draw_delay` is
+    holds that come within `renewals_unanswered_between` (seconds of true time) get no answer. `draw_delay` is
     called with the path of every other order; it returns how much later that is carried out, or
     None. With `trusts_lease` a start whose own time is over is refused only when the worker's lease
     is over, too: the contract does not say which of the two a worker goes by.
@@ -83,23 +83,23 @@
         self.finished = []
         self.n_ended = 0
         self.until = 0.0
-        self.lapse = None
-        self.bars = {}
-        self.holds = []
-        self.n_holds = 0
+        self.lease_expiry = None
+        self.barred_run_ids = {}
+        self.pending_renewals = []
+        self.n_renewals = 0
         self.alive = True
         self.fail_all = False
         self.paces = []
         self.n_lost_starts = 0
         self.n_late_starts = 0
         self.n_late_stops = 0
-        self.late_s = LATE_S
+        self.late_s = LATE_START_DELAY_S
         self.draw_delay = None
         self.trusts_lease = False
-        self.deaf_between = (0.0, 0.0)
+        self.renewals_unanswered_between = (0.0, 0.0)
         self.serving_tail_ms = 0
         self.on_crash = None
-        self.untold_ends = set()
+        self.unacknowledged_ends = set()
 
     def entry(self, *, state="ready"):
         """Return the worker's entry in the registry."""
@@ -133,13 +133,13 @@
     def crash(self):
         """Lose all state; pending calls get no answer."""
         self.alive = False
-        self._record_untold_ends()
+        self._record_unacknowledged_ends()
         for task in list(self.active):
             self._end(task, "crashed", listed=False)
 
-    def _record_untold_ends(self):
+    def _record_unacknowledged_ends(self):
         """Record the ends not acknowledged before the lease expired or the worker crashed."""
-        self.untold_ends |= {(task, run_id) for _, task, run_id, _, _ in self.finished}
+        self.unacknowledged_ends |= {(task, run_id) for _, task, run_id, _, _ in self.finished}
 
     def _crash_by_task(self, task):
         """Crash the worker because of a task that runs on it."""
@@ -155,20 +155,20 @@
             self.clock.callLater(delay, self._act, path, body, headers, is_late=True)
             return Deferred()
         answer = self._act(path, body, headers)
-        if path == OrderCall.START and self.n_lost_starts:
+        if path == WorkerCall.START and self.n_lost_starts:
             self.n_lost_starts -= 1
             return Deferred()
-        first, last = self.deaf_between
-        if path == OrderCall.HOLD and first < self.clock.seconds() < last:
+        first, last = self.renewals_unanswered_between
+        if path == WorkerCall.HOLD and first < self.clock.seconds() < last:
             return Deferred()
         return answer
 
     def _delay_of(self, path):
         """Return how much later an order is carried out; None: at once."""
-        if path == OrderCall.START and self.n_late_starts:
+        if path == WorkerCall.START and self.n_late_starts:
             self.n_late_starts -= 1
             return self.late_s
-        if path == OrderCall.STOP and self.n_late_stops:
+        if path == WorkerCall.STOP and self.n_late_stops:
             self.n_late_stops -= 1
             return self.late_s
         return self.draw_delay(path) if self.draw_delay is not None else None
@@ -182,13 +182,13 @@
             return self._answer(409, reason="fence")
         self.token = max(self.token, call.get("fencing-token", 0))
         match path:
-            case OrderCall.START:
+            case WorkerCall.START:
                 return self._start(call, is_late)
-            case OrderCall.STOP:
+            case WorkerCall.STOP:
                 return self._stop(call)
-            case OrderCall.HOLD:
-                return self._hold(call)
-            case OrderCall.PACE:
+            case WorkerCall.HOLD:
+                return self._handle_renewal(call)
+            case WorkerCall.PACE:
                 self.paces.append((call["task"], call["percent"]))
                 return self._answer(200)
             case _:
@@ -202,7 +202,7 @@
         run = self.active.get(task)
         if run is not None and run.run_id == run_id:
             return self._answer(200)
-        if run_id <= self.bars.get(task, 0) or run is not None:
+        if run_id <= self.barred_run_ids.get(task, 0) or run is not None:
             return self._answer(409, reason="old")
         until = call["until-ms"] / 1000
         if (max(until, self.until) if self.trusts_lease else until) <= self.clock_s():
@@ -235,7 +235,7 @@
 
     def _stop(self, call):
         task, run_id = call["task"], call["run-id"]
-        self.bars[task] = max(self.bars.get(task, 0), run_id)
+        self.barred_run_ids[task] = max(self.barred_run_ids.get(task, 0), run_id)
         span = self.active.get(task)
         if span is not None and span.run_id <= run_id:
             self.clock.callLater(STOP_S, self._finish, task, span.run_id, "stopped")
@@ -244,12 +244,12 @@
     def _renew(self, until):
         until = min(until, self.clock_s() + MAX_LEASE_S)
         self.until = max(self.until, until)
-        if self.lapse is not None and self.lapse.active():
-            self.lapse.cancel()
-        self.lapse = self.clock.callLater(max(0.0, self.until - self.clock_s()), self._lapse)
+        if self.lease_expiry is not None and self.lease_expiry.active():
+            self.lease_expiry.cancel()
+        self.lease_expiry = self.clock.callLater(max(0.0, self.until - self.clock_s()), self._lapse)
 
     def _lapse(self):
-        self._record_untold_ends()
+        self._record_unacknowledged_ends()
         for task in list(self.active):
             self._end(task, "lapsed")
 
@@ -257,15 +257,15 @@
         span = self.active.pop(task)
         span.ended_at = self.clock.seconds()
         span.how = how
-        self.bars[task] = max(self.bars.get(task, 0), span.run_id)
+        self.barred_run_ids[task] = max(self.barred_run_ids.get(task, 0), span.run_id)
         if listed:
             self.n_ended += 1
             self.finished.append([self.n_ended, task, span.run_id, how, ""])
-            for wake in self.holds[:]:
+            for wake in self.pending_renewals[:]:
                 wake()
 
-    def _hold(self, call):
-        self.n_holds += 1
+    def _handle_renewal(self, call):
+        self.n_renewals += 1
         if "until-ms" in call:
             self._renew(call["until-ms"] / 1000)
         self.finished = [end for end in self.finished if end[0] > call["last-seen"]]
@@ -276,12 +276,12 @@
 
         def wake():
             if self.alive and not done.called:
-                self.holds.remove(wake)
+                self.pending_renewals.remove(wake)
                 if late.active():
                     late.cancel()
                 done.callback(self._lists())
 
-        self.holds.append(wake)
+        self.pending_renewals.append(wake)
         late = self.clock.callLater(wait, wake)
         return done
 
--- a/anvilflow/standins/_virtual_cell.py
+++ b/anvilflow/standins/_virtual_cell.py
@@ -28,7 +28,7 @@
 _LIST_GAP_S = 0.6
 _LIST_KNOWN_S = 1.0
 
-_ANY = "127.0.0.1:0"
+_UNUSED_ADDRESS = "127.0.0.1:0"
 
 
 class _MemoryMembership:
@@ -39,7 +39,7 @@
         self.faults = faults
         self.history = history
         self._leaving = set()
-        self._shown = {}
+        self._leaving_since = {}
         self._read_at = 0.0
 
     def read(self):
@@ -55,11 +55,11 @@
         listing = self.state.read()
         now = self.history.clock.seconds()
         if now - self._read_at > _LIST_GAP_S:
-            self._shown.clear()
+            self._leaving_since.clear()
         self._read_at = now
         for member in listing.members:
             if member.state == "leaving" and member.name not in self._leaving:
-                since = self._shown.setdefault(member.name, now)
+                since = self._leaving_since.setdefault(member.name, now)
                 if now - since >= _LIST_KNOWN_S:
                     self._leaving.add(member.name)
                     self.history.add(TargetLeaving, worker=member.name)
@@ -109,7 +109,7 @@
         self.errors = []
         self._n_tokens = 0
         self._n_calls = 0
-        self._open = {}
+        self._open_requests = {}
 
     def start(self):
         """Start everything and let it settle."""
@@ -125,8 +125,12 @@
         """Start an instance and put it on the list."""
         settings = Settings(
             instance=InstanceSettings(name=name, failure_domain="d1"),
-            listen=ListenSettings(callers=_ANY, operators=_ANY, peers=_ANY),
-            platform=PlatformSettings(table=_ANY, objects=_ANY, membership=_ANY),
+            listen=ListenSettings(
+                callers=_UNUSED_ADDRESS, operators=_UNUSED_ADDRESS, peers=_UNUSED_ADDRESS
+            ),
+            platform=PlatformSettings(
+                table=_UNUSED_ADDRESS, objects=_UNUSED_ADDRESS, membership=_UNUSED_ADDRESS
+            ),
             **self.sections,
         )
         clock = PausableClock(inner=self.clock)
@@ -164,9 +168,9 @@
         self.clocks[name].kill()
         self.network.cut(name)
         self.membership.remove(name)
-        for call in [call for call in self._open if call[0] == name]:
+        for call in [call for call in self._open_requests if call[0] == name]:
             # The caller sees its connection break: it cannot know what became of its request.
-            token = self._open.pop(call)
+            token = self._open_requests.pop(call)
             self.history.add(Answered, token=token, outcome="unknown")
 
     def pause_instance(self, name):
@@ -208,9 +212,9 @@
         answers = []
         self._n_calls += 1
         call_id = (gateway, self._n_calls)
-        self._open[call_id] = token
+        self._open_requests[call_id] = token
         done = maybeDeferred(self.part(gateway, "entry").serve, call)
-        done.addErrback(_refused)
+        done.addErrback(_answer_of_error)
         done.addCallback(self._answered, call_id, answers)
         return answers
 
@@ -238,7 +242,7 @@
         return daemon.context.catalog.get(f"Job/{customer}/{name}")
 
     def _answered(self, answer, call_id, answers):
-        token = self._open.pop(call_id, None)
+        token = self._open_requests.pop(call_id, None)
         if token is None:
             return
         echoed = decode_lenient(answer.result)["token"] if answer.outcome == "completed" else ""
@@ -261,7 +265,7 @@
         )
 
 
-def _refused(failure):
+def _answer_of_error(failure):
     """Return the answer that a caller reads out of a coded error."""
     failure.trap(AnvilflowError)
     return RequestAnswer(request_id="", outcome=Outcome.NOT_RUN.value, code=failure.value.code)
--- a/anvilflow/standins/_wire.py
+++ b/anvilflow/standins/_wire.py
@@ -13,14 +13,14 @@
 CALLER = b"x-caller"
 
 #: One way between any two places. Unit: seconds.
-WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 
 #: Head of a request or an answer on a link that is limited both ways. Unit: bytes.
 HEAD_BYTES = 200
 
 #: Processor time of one call that a real process makes: two system calls and a parser. Unit:
 #: seconds.
-CALL_S = 5e-5
+CALL_CPU_S = 5e-5
 
 
 class WireFaults:
@@ -85,15 +85,15 @@
         self.calls = Counter()
         self.bytes_out = Counter()
         self.bytes_in = Counter()
-        self._under_way = defaultdict(set)
-        self._silent = set()
+        self._pending_calls = defaultdict(set)
+        self._dropped_answers = set()
 
-    def silence(self, name):
+    def drop_pending_answers(self, name):
         """Let the connections of a process that calls are under way on fall silent for good.
 
         Those calls get no answer, whenever it is ready; later ones go over new connections.
         """
-        self._silent |= self._under_way[name]
+        self._dropped_answers |= self._pending_calls[name]
 
     def slow_link(self, name, bytes_per_s):
         """Give the process `name` a link of limited bandwidth; return it."""
@@ -115,24 +115,24 @@
         """Return the HTTP client of the process `name`, whose time is `clock`."""
         return WireClient(network=self, name=name, clock=clock)
 
-    def carry(self, caller, clock, method, url, body, headers):
+    def make_call(self, caller, clock, method, url, body, headers):
         """Make a call; the Deferred fires on `clock` with status and body, or never."""
         parts = urlsplit(url)
         self.calls[caller, parts.netloc] += 1
         self.bytes_out[caller, parts.netloc] += len(body) + HEAD_BYTES
-        clock.charge(CALL_S)
+        clock.charge(CALL_CPU_S)
         faults = self.faults.get(parts.netloc)
         server = self.servers.get(parts.netloc)
         done = Deferred()
-        self._under_way[caller].add(done)
-        done.addBoth(self._over, caller, done)
+        self._pending_calls[caller].add(done)
+        done.addBoth(self._remove_pending, caller, done)
         done.addCallback(self._count_answer, caller, parts.netloc)
         if server is None or (faults.refuses and faults.concern(caller)):
-            clock.callLater(WAY_S, done.errback, Failure(ConnectionRefusedError()))
+            clock.callLater(ONE_WAY_DELAY_S, done.errback, Failure(ConnectionRefusedError()))
             return done
         headers = {**(headers or {}), CALLER: [caller.encode()]}
         call = (method, parts.path, dict(parse_qsl(parts.query)), body, headers)
-        arrive = (WAY_S, self._arrive, server, faults, caller, clock, call, done)
+        arrive = (ONE_WAY_DELAY_S, self._arrive, server, faults, caller, clock, call, done)
         link = self.send_links.get(caller)
         if link is None:
             self.clock.callLater(*arrive)
@@ -149,8 +149,8 @@
         self.bytes_in[caller, address] += len(result[1]) + HEAD_BYTES
         return result
 
-    def _over(self, result, caller, done):
-        self._under_way[caller].discard(done)
+    def _remove_pending(self, result, caller, done):
+        self._pending_calls[caller].discard(done)
         return result
 
     def _arrive(self, server, faults, caller, clock, call, done):
@@ -177,8 +177,8 @@
         result.addErrback(self._raise)
 
     def _answer(self, result, clock, done):
-        if done not in self._silent:
-            self.clock.callLater(WAY_S, clock.callLater, 0, _settle, done, result)
+        if done not in self._dropped_answers:
+            self.clock.callLater(ONE_WAY_DELAY_S, clock.callLater, 0, _settle, done, result)
 
     def _raise(self, failure):
         failure.printTraceback()
@@ -220,7 +220,7 @@
             on_begin=on_begin,
         )
         self.n_bytes_out += len(body) + HEAD_BYTES
-        done = self.network.carry(self.name, self.clock, method, url, body, headers)
+        done = self.network.make_call(self.name, self.clock, method, url, body, headers)
         done.addCallback(self._count)
         done.addCallbacks(exchange.begin, exchange.end)
         return exchange.limit(timeout)
@@ -259,12 +259,14 @@
         self._find_link = link
         self._link = None
         self._answer = Deferred(self._cancelled)
-        self._late = None
+        self._timeout_call = None
         self._transfer = None
 
     def limit(self, timeout):
         """Return the Deferred of the answer; it fails after `timeout`."""
-        self._late = self.clock.callLater(timeout, self.end, Failure(TimeoutError("no answer")))
+        self._timeout_call = self.clock.callLater(
+            timeout, self.end, Failure(TimeoutError("no answer"))
+        )
         return self._answer
 
     def begin(self, result):
@@ -284,12 +286,12 @@
 
     def _progress(self):
         if self._idle_timeout is not None:
-            self._late.reset(self._idle_timeout)
+            self._timeout_call.reset(self._idle_timeout)
 
     def end(self, result):
         """The answer is whole, or has failed."""
-        if self._late.active():
-            self._late.cancel()
+        if self._timeout_call.active():
+            self._timeout_call.cancel()
         if self._transfer is not None:
             self._link.drop(self._transfer)
         if not self._answer.called:
--- a/anvilflow/standins/_worker.py
+++ b/anvilflow/standins/_worker.py
@@ -66,7 +66,7 @@
         self.tasks = {}
         self.finished = {}
         self.requests = {}
-        self._bars = {}
+        self._barred_until = {}
         self._record(WorkerKnown, worker=name, capacity=capacity)
 
     # The contract
@@ -91,7 +91,7 @@
             if hold_id in self.tasks:
                 self._lease(self.tasks[hold_id], until)
         for hold_id in value["stop"]:
-            self._bars[hold_id] = self.clock.seconds() + 3600
+            self._barred_until[hold_id] = self.clock.seconds() + 3600
             if hold_id in self.tasks:
                 self._end(hold_id, "stopped")
         for hold_id in value["forget"]:
@@ -110,13 +110,13 @@
         now = self.clock.seconds()
         if hold_id in self.tasks or hold_id in self.finished:
             return {}
-        if value["until"] <= now or self._bars.get(hold_id, 0) > now:
+        if value["until"] <= now or self._barred_until.get(hold_id, 0) > now:
             raise WorkerRefusedError(f"{hold_id} may no longer start")
         needs = _amounts(value["needs"])
         run = _Run(hold_id=hold_id, needs=needs, until=value["until"])
         self.tasks[hold_id] = run
         token, seconds = _read_payload(value["payload"])
-        self._began(hold_id, needs, token, task=True)
+        self._record_began(hold_id, needs, token, task=True)
         self._lease(run, value["until"])
         run.end = self.clock.callLater(self._seconds(seconds), self._finish, hold_id, token)
         return {}
@@ -128,7 +128,7 @@
         self._check_in_time(request_id, until)
         token, seconds = _read_payload(payload)
         self.requests[request_id] = needs
-        self._began(request_id, needs, token, task=False)
+        self._record_began(request_id, needs, token, task=False)
         try:
             if seconds and not self.faults.fail_runs:
                 yield deferLater(self.clock, self._seconds(seconds), lambda: None)
@@ -145,7 +145,7 @@
         for hold_id in list(self.tasks):
             self._end(hold_id, "lost")
         self.finished.clear()
-        self._bars.clear()
+        self._barred_until.clear()
         self.epoch = self._first_epoch()
 
     # Internals
@@ -182,13 +182,13 @@
         run = self.tasks.pop(hold_id)
         # A start that was delayed on the way must not run the task a second time; its lease end
         # is at most this far ahead, after which it is refused anyway.
-        self._bars[hold_id] = run.until
+        self._barred_until[hold_id] = run.until
         for call in (run.end, run.lapse):
             if call is not None and call.active():
                 call.cancel()
         self._record(RunEnded, worker=self.name, item=hold_id, how=how)
 
-    def _began(self, item, needs, token, *, task):
+    def _record_began(self, item, needs, token, *, task):
         self._record(RunBegan, worker=self.name, item=item, task=task, needs=needs, token=token)
 
     def _record(self, kind, **values):
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -219,7 +219,7 @@
             case "late":
                 faults.late_s = 1.5
             case "forgets":
-                self.world.store.forget_history()
+                self.world.store.drop_history()
                 return
         self._later(for_s, faults.clear)
 
--- a/soak/_judge.py
+++ b/soak/_judge.py
@@ -2,7 +2,7 @@
 
 from collections import Counter, defaultdict
 
-from anvilflow.standins import find_broken_runs
+from anvilflow.standins import find_violations
 
 from ._callers import ENDS
 
@@ -138,7 +138,7 @@
             elif call.cancelled and span.ended_at is None:
                 self.broken.append(f"{span.task} still runs, and its job was cancelled")
         self.broken += self._find_excess_starts()
-        self.broken += find_broken_runs(
+        self.broken += find_violations(
             self.world.spans, self.world.workers, capacity_delay_s=CAPACITY_DELAY_S
         )
         return self.broken
--- a/soak/_world.py
+++ b/soak/_world.py
@@ -9,7 +9,7 @@
 from anvilflow.standins import (
     AdviceServer,
     MetadataStore,
-    OrderWorker,
+    PlatformWorker,
     WireFaults,
     make_platform_config,
 )
@@ -76,7 +76,7 @@
     request.finish()
 
 
-class SoakWorker(OrderWorker):
+class SoakWorker(PlatformWorker):
     """A worker that marks the ends that nobody took note of before its lease lapsed or it died.
 
     Such an end is not known to anybody who may start the task again: the promise that a task is
