--- a/anvilflow/standins/_front_call.py
+++ b/anvilflow/standins/_front_call.py
@@ -1,4 +1,4 @@
-"""A client's call without a socket."""
+"""A client's HTTP call to a front resource, without a socket."""
 
 from io import BytesIO
 
@@ -8,7 +8,10 @@
 
 
 class FrontCall:
-    """What a front resource needs of a request; `answers` gets ``(status, value, headers)``."""
+    """The part of Twisted's request interface that a front resource uses.
+
+    `answers` receives ``(status, value, headers)`` when the resource finishes the response.
+    """
 
     def __init__(self, *, method, host, path, body):
         self.method = method.encode()
@@ -21,25 +24,25 @@
         self._body = b""
 
     def getRequestHostname(self):
-        """Return the host that the client named."""
+        """Return the host name of the request."""
         return self._host
 
     def notifyFinish(self):
-        """Return a Deferred that never fires: this client does not go away."""
+        """Return a Deferred that never fires: this client does not disconnect."""
         return Deferred()
 
     def setResponseCode(self, status):
-        """Note the status."""
+        """Record the status."""
         self._status = status
 
     def setHeader(self, name, value):
-        """Note a header."""
+        """Record a header."""
         self._headers[name] = value
 
     def write(self, data):
-        """Note a part of the body."""
+        """Append data to the body."""
         self._body += data
 
     def finish(self):
-        """Hand the answer over."""
+        """Append the complete response to `answers`."""
         self.answers.append((self._status, decode_lenient(self._body), self._headers))
--- a/anvilflow/standins/_metadata_store.py
+++ b/anvilflow/standins/_metadata_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' metadata store: rows, conditional transactions, feeds."""
+"""Stand-in for the platform's metadata store: rows, conditional transactions, feeds."""
 
 import base64
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class StoreCall(StrEnum):
-    """Calls of the store's protocol, by their paths."""
+    """URL paths of the store's protocol."""
 
     COMMIT = "/-/rows-tx"
     READ = "/-/rows-get"
@@ -17,7 +17,7 @@
 
 
 class MetadataStore:
-    """Rows by table, part and key under one version counter.
+    """In-memory rows by table, part and key, with one version counter for all changes.
 
     Parameters
     ----------
@@ -25,8 +25,10 @@
 
     Notes
     -----
-    Speaks the published protocol as far as anvilflow uses it. `log` keeps every change, so that
-    tests can see what was durable when.
+    Implements the part of the published protocol that anvilflow uses. `log` holds every change
+    with its time, so that tests can check what was durable at a given time. `n_writes` and
+    `n_reads` count the calls. A feed call that starts before the version `history_from` is
+    answered with status 410.
     """
 
     def __init__(self, *, clock):
@@ -40,7 +42,7 @@
         self._waiters = []
 
     def handle(self, method, path, query, body, headers):
-        """Answer a call."""
+        """Return the status and body of the response to a call, or a Deferred of them."""
         match path:
             case StoreCall.COMMIT:
                 self.n_writes += 1
@@ -55,15 +57,15 @@
                 return 404, b""
 
     def put(self, table, key, value, *, part=""):
-        """Write a row as the operator or a worker does; return the version."""
+        """Write a row as the operator or a worker does; return the new version."""
         return self._write([(table, part, key, encode(value))])
 
     def remove(self, table, key, *, part=""):
-        """Remove a row."""
+        """Remove a row; return the new version."""
         return self._write([(table, part, key, None)])
 
     def drop_history(self):
-        """Drop the history of changes."""
+        """Drop the history of changes: feeds from earlier versions are answered with 410."""
         self.history_from = self.version
 
     def value(self, table, key, *, part=""):
--- a/anvilflow/standins/_platform_cell.py
+++ b/anvilflow/standins/_platform_cell.py
@@ -1,4 +1,4 @@
-"""A whole cell on stand-ins of the users' platform: real parts, virtual time, faults."""
+"""Complete cell in virtual time, with the real parts, stand-ins of the platform, and faults."""
 
 from random import Random
 
@@ -24,12 +24,13 @@
 #: Step of virtual time. Unit: seconds.
 STEP_S = 0.005
 
-#: Links of instances. Unit: Mbit/s.
+#: Bandwidth of the links of instances. Unit: Mbit/s.
 SLOW_LINK_MBPS = 5
 FAST_LINK_MBPS = 1000
 BYTES_PER_MBIT = 125_000
 
-#: Delays from a worker's crash to the removal of its entry and to its restart. Unit: seconds.
+#: Delays from a worker's crash to the removal of its registry entry and to its restart. Unit:
+#: seconds.
 ENTRY_REMOVAL_DELAY_S = 1.0
 RESTART_DELAY_S = 3.0
 
@@ -37,24 +38,25 @@
 #: seconds.
 CAPACITY_CHANGE_DELAY_S = 0.1
 
-#: Share of a core that instances with little processor have.
+#: Share of a core of the instances in `weak`.
 LOW_CPU_SHARE = 0.12
 
-#: Time of day at the start of virtual time. Unit: seconds.
+#: Unix time at the start of virtual time. Unit: seconds.
 EPOCH_S = 1_700_000_000.0
 
 
 def make_platform_config(version=1, *, queues=None, advice=None, attempts=3):
-    """Return a configuration as the operator writes it: an urgent queue and a bulk queue.
+    """Return an operator's configuration, by default with an urgent queue and a bulk queue.
 
     Parameters
     ----------
     version : int
     queues : list of dict, default=None
-        Routes in place of the two.
+        Routes that replace the default queues.
     advice : dict, default=None
-        Rules of advice for both queues.
+        Advice rules of the default queues.
     attempts : int
+        Maximum attempts per task.
     """
     if queues is None:
         extra = {"advice": advice} if advice else {}
@@ -77,12 +79,12 @@
 
 
 def make_job_body(*steps, **values):
-    """Return a client's body; each step a dict in the platform's words."""
+    """Return the body of a client's submission; each step is a dict in the wire format."""
     return encode({"spec": values.pop("spec", ""), "steps": list(steps), **values})
 
 
 class PlatformCell:
-    """Instances, workers, store and advice in one process.
+    """Instances, workers, metadata store and advice service in one process.
 
     Parameters
     ----------
@@ -91,16 +93,16 @@
         Of each worker. Unit: thousandths of a core.
     config : dict, default=None
     sizes : callable, default=None
-        Returns ``(seconds, how, cpu)`` of a run from its task's name and payload; the default reads
-        them from the payload: ``SECONDS HOW CPU``.
+        Returns ``(seconds, how, cpu)`` of a run for the task's name and payload; the default parses
+        the payload as ``SECONDS HOW CPU``.
     advice : AdviceServer, default=None
     random_state : int, default=0
     slow : sequence of str, default=()
         Names of the instances on slow links.
     weak : sequence of str, default=()
-        Names of the instances with little processor, as their settings tell.
+        Names of the instances whose settings give only `LOW_CPU_SHARE` of a core.
     policy : SchedulingPolicy, default=None
-        Of all instances.
+        Policy of all instances.
     """
 
     def __init__(
@@ -148,10 +150,10 @@
         for number in range(n_workers):
             self.add_worker(f"i-{number}", f"w{number}:1", cpu=cpu, rack=f"r{number % 2}")
 
-    # Setting up
+    # Setup
 
     def add_worker(self, worker_id, address, *, cpu=16000, rack="r0"):
-        """Start a worker and let it register."""
+        """Start a worker and write its registry entry; return the worker."""
         worker = PlatformWorker(
             clock=self.clock,
             worker_id=worker_id,
@@ -168,13 +170,13 @@
         return worker
 
     def start(self):
-        """Start all instances and let them settle."""
+        """Start all instances and give them time to elect a leader."""
         for number in range(self.n_instances):
             self.start_instance(f"a{number}")
         self.advance(1.5)
 
     def start_instance(self, name):
-        """Start an instance, or one that was killed, with an empty memory."""
+        """Start or restart an instance without any state; return its daemon."""
         clock = PausableClock(inner=self.clock)
         self.clocks[name] = clock
         self.network.add_clock(name, clock)
@@ -216,7 +218,7 @@
         return daemon
 
     def limit_links(self, name, bytes_per_s):
-        """Limit an instance's link both ways, for calls and for what instances tell each other."""
+        """Limit an instance's link both ways, for HTTP calls and for messages between instances."""
         self.wire.narrow_link(name, bytes_per_s)
         self.network.links[name] = self.wire.links[name]
         self.network.send_links[name] = self.wire.send_links[name]
@@ -229,10 +231,10 @@
         self.worker_crashed(worker_id, **values)
 
     def worker_crashed(self, worker_id, *, restart_delay_s=RESTART_DELAY_S):
-        """Make a crashed worker unreachable, remove its entry and restart it under a new id.
+        """Make a crashed worker unreachable, remove its registry entry and restart it later.
 
-        Connections to its address are refused with `refuses_after_crash`, else get no answer. With
-        `restart_delay_s` None the worker is not restarted.
+        With `refuses_after_crash`, connections to its address are refused, else calls are not
+        answered. The worker restarts under a new id, or not at all with `restart_delay_s` None.
         """
         faults = self.worker_faults[worker_id]
         faults.silent = not self.refuses_after_crash
@@ -248,7 +250,7 @@
         self.add_worker(worker_id, crashed.address, cpu=crashed.cpu, rack=crashed.rack)
 
     def set_capacity(self, worker_id, cpu):
-        """Change a worker's capacity at run time and update its entry."""
+        """Change a worker's capacity at run time and update its registry entry."""
         worker = self.workers[worker_id]
         worker.set_capacity(cpu)
         self.store.put("servers", worker_id, worker.entry())
@@ -260,65 +262,65 @@
         self.network.cut(name)
 
     def power_off(self, name):
-        """Let an instance vanish: its connections fall silent."""
+        """Stop an instance without closing its connections, as a power failure does."""
         self.daemons.pop(name)
         self.clocks[name].kill()
         self.isolate(name)
 
     def power_on(self, name):
-        """Start an instance on a machine that had no power; it reaches those that run."""
+        """Restart an instance after a power failure and connect it to the running instances."""
         for other in self.daemons:
             self.network.unsilence(name, other)
             self.network.unsilence(other, name)
         return self.start_instance(name)
 
     def isolate(self, name):
-        """Cut an instance off from all others, silently."""
+        """Block all messages between an instance and the others, without closing connections."""
         for other in self.clocks:
             self.network.silence(name, other)
             self.network.silence(other, name)
 
     def pause(self, name):
-        """Stop an instance in its tracks."""
+        """Pause an instance, as SIGSTOP does."""
         self.clocks[name].pause()
 
     def resume(self, name):
-        """Let it go on."""
+        """Resume a paused instance."""
         self.clocks[name].resume()
 
     # Use
 
     def advance(self, seconds):
-        """Let virtual time pass."""
+        """Advance virtual time."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
 
     def leader(self):
-        """Return the name of the instance that the store knows as the leader."""
+        """Return the name of the instance that the leader row in the store names."""
         return self.store.value("home", "home", part="cell")["holder"]
 
     def leaders(self):
-        """Return the instances that act as leader now."""
+        """Return the names of the instances that currently act as leader."""
         return [name for name, daemon in self.daemons.items() if daemon.context.leader is not None]
 
     def other(self):
-        """Return an instance that is not the leader."""
+        """Return the name of an instance that is not the leader."""
         return next(name for name in self.daemons if name != self.leader())
 
     def call(self, instance, method, path, body=b""):
-        """Make a client's call; return a list that gets ``(status, value, headers)``."""
+        """Make a client's call; return a list that receives ``(status, value, headers)``."""
         gateway = self.daemons[instance].supervisor.part("entry")
         request = FrontCall(method=method, host="desk.example", path=path, body=body)
         maybeDeferred(gateway.front.render, request)
         return request.answers
 
     def submit(self, instance, job_id, *steps, queue="urgent", **values):
-        """Submit a job; return a list that gets the answer."""
+        """Submit a job; return a list that receives ``(status, value, headers)``."""
         body = make_job_body(*steps, **values)
         return self.call(instance, "POST", f"/{queue}/{job_id}", body)
 
     def state(self, instance, job_id, *, queue="urgent"):
-        """Return a job's state as a client hears it now, or the status of a refusal."""
+        """Return the job state that a client gets, an error status, or None without an answer."""
         answers = self.call(instance, "GET", f"/{queue}/{job_id}")
         self.advance(1.0)
         if not answers:
@@ -326,14 +328,14 @@
         status, value, _ = answers[0]
         return value["state"] if status == 200 else status
 
-    # What happened
+    # Results
 
     def runs_of(self, task):
-        """Return the spans of a task."""
+        """Return the :class:`RunSpan` records of a task."""
         return [span for span in self.spans if span.task == task]
 
     def check(self):
-        """Return what was broken: two runs at once, runs after a done one, capacity exceeded."""
+        """Return the violated invariants of all runs; see :func:`find_violations`."""
         return find_violations(self.spans, self.workers)
 
 
@@ -343,9 +345,11 @@
 
 
 def find_violations(spans, workers, *, capacity_delay_s=CAPACITY_CHANGE_DELAY_S):
-    """Return what the runs of some workers broke: twice at once, after done, over capacity.
+    """Return a text for each violated invariant of the runs in `spans`.
 
-    Starts may use the old capacity until `capacity_delay_s` seconds after a reduction.
+    A task has at most one active run, it does not run again after a run that ended as done, and the
+    runs of a worker do not exceed its capacity. Starts may use the old capacity until
+    `capacity_delay_s` seconds after a reduction.
     """
     return _overlaps(spans) + _over_capacity(spans, workers, capacity_delay_s)
 
--- a/anvilflow/standins/_platform_worker.py
+++ b/anvilflow/standins/_platform_worker.py
@@ -1,4 +1,7 @@
-"""Stand-in for a worker of the users' platform: starts, stops, holds, leases, fencing tokens."""
+"""Stand-ins for a worker of the users' platform and for its advice service.
+
+The worker implements starts, stops, lease renewals, leases and fencing tokens.
+"""
 
 from enum import StrEnum
 
@@ -8,16 +11,16 @@
 from ..utils import decode_lenient, encode
 from ._wire import CALLER
 
-#: Longest lease, and the longest that a stop takes. Unit: seconds.
+#: Maximum lease of a worker, and time from a stop command to the end of the run. Unit: seconds.
 MAX_LEASE_S = 6.0
 STOP_S = 0.3
 
-#: How much later a late start is carried out. Unit: seconds.
+#: Default delay of starts and stops that are executed late. Unit: seconds.
 LATE_START_DELAY_S = 2.0
 
 
 class WorkerCall(StrEnum):
-    """Calls of a worker's protocol, by their paths."""
+    """URL paths of a worker's protocol."""
 
     START = "/-/run-start"
     STOP = "/-/run-stop"
@@ -26,9 +29,11 @@
 
 
 class RunSpan(Struct, kw_only=True):
-    """One run as it happened; `ended_at` is None while it lasts. Unit: seconds of true time.
+    """Record of one run of a task on a worker.
 
-    `is_late` says that the worker began it on an order that it had left unanswered.
+    Times are true times, independent of the worker's clock. Unit: seconds. `ended_at` is None while
+    the run is active. `is_late` is set if the worker executed the start command late and without
+    an answer.
     """
 
     worker: str
@@ -42,7 +47,7 @@
 
 
 class PlatformWorker:
-    """One life of a worker.
+    """One incarnation of a worker.
 
     Parameters
     ----------
@@ -51,20 +56,26 @@
     cpu : int
         Unit: thousandths of a core.
     spans : list of RunSpan
-        Where runs are recorded; workers of a cell share it.
+        Record of all runs, shared by the workers of a cell.
     sizes : callable
-        Returns ``(seconds, how, cpu)`` for a task's name and payload: how the run will go.
+        Returns the duration, the outcome and the processor use of a run, as ``(seconds, how,
+        cpu)``, for the task's name and payload.
 
     Notes
     -----
-    It does not guard its capacity: that it is never exceeded is the system's promise. A run whose
-    outcome is `crash` also crashes the worker and calls `on_crash`, if set. Faults of
-    single calls are attributes: the next `n_lost_starts` starts are carried out and not answered,
-    the next `n_late_starts` and `n_late_stops` are carried out `late_s` later and not answered, and
-    holds that come within `renewals_unanswered_between` (seconds of true time) get no answer. `draw_delay` is
-    called with the path of every other order; it returns how much later that is carried out, or
-    None. With `trusts_lease` a start whose own time is over is refused only when the worker's lease
-    is over, too: the contract does not say which of the two a worker goes by.
+    The worker does not enforce its capacity: the scheduler guarantees the invariant that the
+    capacity is never exceeded, and tests check it. A run whose outcome is `crash` also crashes the
+    worker and calls `on_crash`, if set.
+
+    Attributes switch faults of single calls. The next `n_lost_starts` starts are executed but not
+    answered. The next `n_late_starts` starts and `n_late_stops` stops are executed after `late_s`
+    seconds and not answered. Lease renewals that arrive within `renewals_unanswered_between`
+    (seconds of true time) are executed but not answered. `draw_delay` is called with the path of
+    every other command; it returns the delay after which the command is executed without an
+    answer, or None for no fault.
+
+    With `trusts_lease`, a start whose ``until-ms`` has passed is refused only if the worker's lease
+    has expired, too: the contract does not specify which of the two a worker checks.
     """
 
     def __init__(self, *, clock, worker_id, address, cpu, spans, sizes, rack="r1", offset_s=100.0):
@@ -102,7 +113,7 @@
         self.unacknowledged_ends = set()
 
     def entry(self, *, state="ready"):
-        """Return the worker's entry in the registry."""
+        """Return the worker's registry entry."""
         return {
             "service": "desk",
             "address": self.address,
@@ -131,7 +142,7 @@
         return self.clock.seconds() + self.offset_s
 
     def crash(self):
-        """Lose all state; pending calls get no answer."""
+        """Crash the worker: end all runs; pending calls get no answer, later ones are refused."""
         self.alive = False
         self._record_unacknowledged_ends()
         for task in list(self.active):
@@ -142,14 +153,14 @@
         self.unacknowledged_ends |= {(task, run_id) for _, task, run_id, _, _ in self.finished}
 
     def _crash_by_task(self, task):
-        """Crash the worker because of a task that runs on it."""
+        """Crash the worker because of a task that runs on it, and call `on_crash`."""
         self._end(task, "crash", listed=False)
         self.crash()
         if self.on_crash is not None:
             self.on_crash()
 
     def handle(self, method, path, query, body, headers):
-        """Answer an order, or leave it unanswered as the faults say."""
+        """Execute a command; return the response, or a Deferred that never fires under a fault."""
         delay = self._delay_of(path)
         if delay is not None:
             self.clock.callLater(delay, self._act, path, body, headers, is_late=True)
@@ -164,7 +175,7 @@
         return answer
 
     def _delay_of(self, path):
-        """Return how much later an order is carried out; None: at once."""
+        """Return the delay before a command is executed, or None to execute it immediately."""
         if path == WorkerCall.START and self.n_late_starts:
             self.n_late_starts -= 1
             return self.late_s
@@ -277,12 +288,12 @@
         def wake():
             if self.alive and not done.called:
                 self.pending_renewals.remove(wake)
-                if late.active():
-                    late.cancel()
+                if timeout_call.active():
+                    timeout_call.cancel()
                 done.callback(self._lists())
 
         self.pending_renewals.append(wake)
-        late = self.clock.callLater(wait, wake)
+        timeout_call = self.clock.callLater(wait, wake)
         return done
 
     def _percent(self, span):
@@ -298,20 +309,22 @@
 
 
 class AdviceServer:
-    """Stand-in for the service that knows which workers may run a step: all of `allowed`.
+    """Stand-in for the advice service, which returns the workers that may run a step.
 
     Parameters
     ----------
     clock : Clock
     allowed : set of str
+        Ids of the workers that may run any step.
     base_s : float or callable
-        Time that an answer takes, or a function of the number of earlier calls. Unit: seconds.
-    valid_s : float, default=2.5
+        Processing time of a call, or a function that returns it for the number of earlier calls.
         Unit: seconds.
+    valid_s : float, default=2.5
+        Validity period of an answer. Unit: seconds.
 
     Notes
     -----
-    It takes one call of each calling process at a time, in turn.
+    The service processes one call of each calling process at a time, in order of arrival.
     """
 
     def __init__(self, *, clock, allowed, base_s, valid_s=2.5):
@@ -323,7 +336,7 @@
         self._free_at = {}
 
     def handle(self, method, path, query, body, headers):
-        """Answer an ask after the time that it takes."""
+        """Return a Deferred of the response, which fires after the processing time."""
         length = self.base_s(self.n_calls) if callable(self.base_s) else self.base_s
         self.n_calls += 1
         caller = headers[CALLER][0]
--- a/anvilflow/standins/_virtual_cell.py
+++ b/anvilflow/standins/_virtual_cell.py
@@ -1,4 +1,4 @@
-"""A whole cell under a virtual clock: the real parts on stand-ins in memory."""
+"""Complete cell in virtual time, with the real parts and in-memory stand-ins."""
 
 from random import Random
 
@@ -23,8 +23,8 @@
 #: Step of the virtual clock. Unit: seconds.
 STEP_S = 0.005
 
-#: Pause between readings of the list that shows that it could not be read, and the time after
-#: which everybody has read it. Unit: seconds.
+#: Pause between reads of the membership list above which the list must have been unreadable, and
+#: time after which every instance has read a change of the list. Unit: seconds.
 _LIST_GAP_S = 0.6
 _LIST_KNOWN_S = 1.0
 
@@ -32,7 +32,10 @@
 
 
 class _MemoryMembership:
-    """The interface of :class:`MembershipClient` on a :class:`MembershipState`."""
+    """Client with the interface of :class:`MembershipClient`.
+
+    Reads a :class:`MembershipState` in the same process.
+    """
 
     def __init__(self, *, state, faults, history):
         self.state = state
@@ -43,14 +46,14 @@
         self._read_at = 0.0
 
     def read(self):
-        """Return the list."""
+        """Return the membership list."""
         return self.faults.around(self._read)
 
     def _read(self):
-        """Read the list.
+        """Return the membership list, and record the workers that all instances know to leave.
 
-        That a worker leaves can be known once the list has said so, and could be read, for longer
-        than everybody's period of reading it.
+        Instances can be expected to know that a worker leaves once the list has shown this, and has
+        been readable, for longer than the period at which every instance reads it.
         """
         listing = self.state.read()
         now = self.history.clock.seconds()
@@ -73,11 +76,11 @@
     ----------
     n_instances, n_workers : int
     capacity : Amounts
-        Of each worker.
+        Capacity of each worker.
     declarations : list of resources
-        In the table from the start.
+        Initial content of the table.
     random_state : int, default=0
-        The same seed gives the same run, event by event.
+        Seed; the same seed gives the same sequence of events.
     sections : dict, default=None
         Settings sections that differ from the defaults.
     """
@@ -112,7 +115,7 @@
         self._open_requests = {}
 
     def start(self):
-        """Start everything and let it settle."""
+        """Start all workers and instances and give the cell time to stabilize."""
         self.table.declare(self.declarations)
         for number in range(self.n_workers):
             self._start_worker(f"w{number + 1:02d}")
@@ -122,7 +125,7 @@
         self.advance(2.0)
 
     def start_instance(self, name):
-        """Start an instance and put it on the list."""
+        """Start an instance and add it to the membership list; return its daemon."""
         settings = Settings(
             instance=InstanceSettings(name=name, failure_domain="d1"),
             listen=ListenSettings(
@@ -157,38 +160,38 @@
         return daemon
 
     def list_instance(self, name):
-        """Put an instance on the list."""
+        """Add an instance to the membership list."""
         self.membership.put(
             MemberInfo(name=name, role="instance", address=name, failure_domain="d1")
         )
 
     def crash_instance(self, name):
-        """Cut an instance off; the list learns of it late."""
+        """Kill an instance and close its connections; the membership list shows this late."""
         self.daemons.pop(name)
         self.clocks[name].kill()
         self.network.cut(name)
         self.membership.remove(name)
         for call in [call for call in self._open_requests if call[0] == name]:
-            # The caller sees its connection break: it cannot know what became of its request.
+            # The caller loses its connection and cannot determine the outcome of its request.
             token = self._open_requests.pop(call)
             self.history.add(Answered, token=token, outcome="unknown")
 
     def pause_instance(self, name):
-        """Stop an instance in its tracks, as SIGSTOP does."""
+        """Pause an instance, as SIGSTOP does."""
         self.clocks[name].pause()
 
     def resume_instance(self, name):
-        """Let it go on; it does not know that time has passed."""
+        """Resume a paused instance; the instance is not informed of the pause."""
         self.clocks[name].resume()
 
     def worker_leaves(self, name):
-        """Mark a worker as leaving on the list."""
+        """Mark a worker as leaving in the membership list."""
         member = self._worker_info(name)
         member.state = "leaving"
         self.membership.put(member)
 
     def advance(self, seconds):
-        """Let virtual time pass."""
+        """Advance virtual time."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
 
@@ -201,7 +204,7 @@
         return self.daemons[instance].supervisor.part(name)
 
     def request(self, gateway, customer, workload, *, seconds=0.01, token=None, **values):
-        """Send a request to an entry instance; return a list that gets the answer."""
+        """Send a request to the instance `gateway`; return a list that receives the answer."""
         if token is None:
             self._n_tokens += 1
             token = f"t{self._n_tokens}"
@@ -219,7 +222,7 @@
         return answers
 
     def request_keyed(self, gateway, customer, workload, key, **values):
-        """Send a non-idempotent request with a key; its token is the key."""
+        """Send a non-idempotent request with an idempotency key, which is also its token."""
         return self.request(
             gateway,
             customer,
@@ -231,13 +234,13 @@
         )
 
     def submit(self, gateway, job):
-        """Submit a job at an entry instance; return a list that gets the answer or the error."""
+        """Submit a job to the instance `gateway`; return a list that receives answer or error."""
         answers = []
         self.part(gateway, "entry").submit(job).addBoth(answers.append)
         return answers
 
     def job(self, customer, name):
-        """Return a job as the first instance sees it."""
+        """Return a job from the catalog of the first instance."""
         daemon = next(iter(self.daemons.values()))
         return daemon.context.catalog.get(f"Job/{customer}/{name}")
 
@@ -266,6 +269,6 @@
 
 
 def _answer_of_error(failure):
-    """Return the answer that a caller reads out of a coded error."""
+    """Return the answer that a caller derives from an error with a code."""
     failure.trap(AnvilflowError)
     return RequestAnswer(request_id="", outcome=Outcome.NOT_RUN.value, code=failure.value.code)
--- a/anvilflow/standins/_wire.py
+++ b/anvilflow/standins/_wire.py
@@ -1,4 +1,4 @@
-"""HTTP calls in memory and virtual time, which can be lost, slowed and carried out late."""
+"""In-memory HTTP calls in virtual time, with faults: loss, delays and late execution."""
 
 from collections import Counter, defaultdict
 from urllib.parse import parse_qsl, urlsplit
@@ -9,46 +9,46 @@
 
 from ._slow_link import SlowLink
 
-#: Header in which a server finds the name of the calling process.
+#: Header with the name of the calling process.
 CALLER = b"x-caller"
 
-#: One way between any two places. Unit: seconds.
+#: Network delay between any two processes, one way. Unit: seconds.
 ONE_WAY_DELAY_S = 0.001
 
-#: Head of a request or an answer on a link that is limited both ways. Unit: bytes.
+#: Size of the headers of a request or response. Unit: bytes.
 HEAD_BYTES = 200
 
-#: Processor time of one call that a real process makes: two system calls and a parser. Unit:
+#: Processor time that a real process uses for one call: two system calls and parsing. Unit:
 #: seconds.
 CALL_CPU_S = 5e-5
 
 
 class WireFaults:
-    """Switches of one server.
+    """Fault switches of one server.
 
     Parameters
     ----------
     refuses : bool
-        Nobody listens.
+        Connections are refused.
     silent : bool
-        Takes calls, does nothing, answers nothing.
+        Calls are accepted, but neither executed nor answered.
     status : int or None
-        Answers this to every call, and does nothing.
+        Every call is answered with this status and not executed.
     loses_answers : bool
-        Acts, and the answer is lost.
+        Calls are executed, but the answers are lost.
     late_s : float
-        Answers nothing, and acts this much later. Unit: seconds.
+        If not 0, calls are executed after this delay and not answered. Unit: seconds.
     slow_s : float
-        Waits before it acts. Unit: seconds.
+        Delay before calls are executed and answered. Unit: seconds.
     only : set of str or None
-        Callers that the faults concern; None: all.
+        Names of the callers that the faults apply to; None: all.
     """
 
     def __init__(self):
         self.clear()
 
     def clear(self):
-        """End all faults."""
+        """Switch off all faults."""
         self.refuses = False
         self.silent = False
         self.status = None
@@ -57,13 +57,13 @@
         self.slow_s = 0.0
         self.only = None
 
-    def concern(self, caller):
-        """Whether the faults are for this caller."""
+    def apply_to(self, caller):
+        """Return whether the faults apply to a caller."""
         return self.only is None or caller in self.only
 
 
 class WireNetwork:
-    """Finds servers by address.
+    """Connects clients to servers by address.
 
     Parameters
     ----------
@@ -71,9 +71,9 @@
 
     Notes
     -----
-    `calls` counts calls by caller and address, `bytes_out` and `bytes_in` what they carry; `links`
-    are the slow ones that answers come over and `send_links` those that calls go out over, by
-    process.
+    `calls` counts calls by caller and address, `bytes_out` and `bytes_in` the bytes of requests
+    and responses. `links` holds the bandwidth-limited links for responses and `send_links` those
+    for requests, by the name of the calling process.
     """
 
     def __init__(self, *, clock):
@@ -89,34 +89,38 @@
         self._dropped_answers = set()
 
     def drop_pending_answers(self, name):
-        """Let the connections of a process that calls are under way on fall silent for good.
+        """Block for good the connections with pending calls of the process `name`.
 
-        Those calls get no answer, whenever it is ready; later ones go over new connections.
+        These calls are never answered, even once the response is ready. Later calls use new
+        connections.
         """
         self._dropped_answers |= self._pending_calls[name]
 
     def slow_link(self, name, bytes_per_s):
-        """Give the process `name` a link of limited bandwidth; return it."""
+        """Limit the bandwidth of responses to the process `name`; return the link."""
         self.links[name] = SlowLink(clock=self.clock, bytes_per_s=bytes_per_s)
         return self.links[name]
 
     def narrow_link(self, name, bytes_per_s):
-        """Limit the link of the process `name` both ways; return the one that it sends over."""
+        """Limit the bandwidth of the process `name` both ways; return the link for requests."""
         self.slow_link(name, bytes_per_s)
         self.send_links[name] = SlowLink(clock=self.clock, bytes_per_s=bytes_per_s)
         return self.send_links[name]
 
     def serve(self, address, server):
-        """Answer calls to `address` with ``server.handle(verb, path, query, body, headers)``."""
+        """Route calls to `address` to ``server.handle(verb, path, query, body, headers)``.
+
+        Return the :class:`WireFaults` of the address.
+        """
         self.servers[address] = server
         return self.faults.setdefault(address, WireFaults())
 
     def client(self, name, clock):
-        """Return the HTTP client of the process `name`, whose time is `clock`."""
+        """Return an HTTP client for the process `name`, which runs on `clock`."""
         return WireClient(network=self, name=name, clock=clock)
 
     def make_call(self, caller, clock, method, url, body, headers):
-        """Make a call; the Deferred fires on `clock` with status and body, or never."""
+        """Make a call; return a Deferred that fires on `clock` with status and body, or never."""
         parts = urlsplit(url)
         self.calls[caller, parts.netloc] += 1
         self.bytes_out[caller, parts.netloc] += len(body) + HEAD_BYTES
@@ -127,7 +131,7 @@
         self._pending_calls[caller].add(done)
         done.addBoth(self._remove_pending, caller, done)
         done.addCallback(self._count_answer, caller, parts.netloc)
-        if server is None or (faults.refuses and faults.concern(caller)):
+        if server is None or (faults.refuses and faults.apply_to(caller)):
             clock.callLater(ONE_WAY_DELAY_S, done.errback, Failure(ConnectionRefusedError()))
             return done
         headers = {**(headers or {}), CALLER: [caller.encode()]}
@@ -137,7 +141,7 @@
         if link is None:
             self.clock.callLater(*arrive)
             return done
-        # What is on the link arrives, also when its sender has given the call up.
+        # Data that is already on the link arrives even if the sender has cancelled the call.
         link.receive(
             len(body) + HEAD_BYTES,
             on_data=lambda: None,
@@ -154,16 +158,16 @@
         return result
 
     def _arrive(self, server, faults, caller, clock, call, done):
-        concerned = faults.concern(caller)
-        if concerned and faults.silent:
+        is_affected = faults.apply_to(caller)
+        if is_affected and faults.silent:
             return
-        if concerned and faults.status is not None:
+        if is_affected and faults.status is not None:
             self._answer((faults.status, b""), clock, done)
             return
-        if concerned and faults.late_s:
+        if is_affected and faults.late_s:
             self.clock.callLater(faults.late_s, self._act, server, call)
             return
-        delay = faults.slow_s if concerned else 0.0
+        delay = faults.slow_s if is_affected else 0.0
         self.clock.callLater(delay, self._act_and_answer, server, faults, caller, clock, call, done)
 
     def _act(self, server, call):
@@ -171,7 +175,7 @@
 
     def _act_and_answer(self, server, faults, caller, clock, call, done):
         result = self._act(server, call)
-        if faults.concern(caller) and faults.loses_answers:
+        if faults.apply_to(caller) and faults.loses_answers:
             return
         result.addCallback(self._answer, clock, done)
         result.addErrback(self._raise)
@@ -191,7 +195,10 @@
 
 
 class WireClient:
-    """The interface of :class:`anvilflow.clients.HttpClient` on a :class:`WireNetwork`."""
+    """HTTP client with the interface of :class:`anvilflow.clients.HttpClient`.
+
+    Makes calls over a :class:`WireNetwork`.
+    """
 
     def __init__(self, *, network, name, clock):
         self.network = network
@@ -212,7 +219,7 @@
         on_begin=None,
         headers=None,
     ):
-        """Make a call; it fails with a TimeoutError when there is no answer in time."""
+        """Make a call; it fails with a TimeoutError if there is no answer within `timeout`."""
         exchange = _Exchange(
             clock=self.clock,
             link=lambda: self.network.links.get(self.name),
@@ -230,26 +237,28 @@
         return result
 
     def post(self, url, body, *, timeout, held_s=0.0, headers=None):
-        """Post bytes."""
+        """Make a POST request with bytes."""
         return self.call(b"POST", url, body, timeout=timeout, headers=headers)
 
     def get(self, url, *, timeout):
-        """Get a resource."""
+        """Make a GET request."""
         return self.call(b"GET", url, b"", timeout=timeout)
 
 
 class _Exchange:
-    """One call of a process and its answer, whose body may take its time.
+    """One call of a process and its response, whose body may arrive over a slow link.
 
     Parameters
     ----------
     clock : IReactorTime
-        The calling process's.
+        Clock of the calling process.
     link : callable
-        Returns the SlowLink that the answer comes over; None: it comes at once.
+        Returns the SlowLink for the response, or None if the response arrives immediately.
     idle_timeout : float or None
-        Longest pause in the answer, if its whole length is not limited. Unit: seconds.
+        Maximum pause between parts of the response; None: only the whole response is limited.
+        Unit: seconds.
     on_begin : callable or None
+        Called with the status when the headers of the response arrive.
     """
 
     def __init__(self, *, clock, link, idle_timeout, on_begin):
@@ -263,14 +272,14 @@
         self._transfer = None
 
     def limit(self, timeout):
-        """Return the Deferred of the answer; it fails after `timeout`."""
+        """Start the time-out; return the Deferred of the response, which fails after `timeout`."""
         self._timeout_call = self.clock.callLater(
             timeout, self.end, Failure(TimeoutError("no answer"))
         )
         return self._answer
 
     def begin(self, result):
-        """The head of the answer is there."""
+        """Process the headers of the response and begin to receive its body."""
         if self._answer.called:
             return
         if self._on_begin is not None:
@@ -289,7 +298,7 @@
             self._timeout_call.reset(self._idle_timeout)
 
     def end(self, result):
-        """The answer is whole, or has failed."""
+        """Fire the Deferred with the complete response or a failure, and release the link."""
         if self._timeout_call.active():
             self._timeout_call.cancel()
         if self._transfer is not None:
--- a/anvilflow/standins/_worker.py
+++ b/anvilflow/standins/_worker.py
@@ -1,7 +1,7 @@
-"""Stand-in for a worker: timed tasks under leases, and service requests.
+"""Stand-in for a worker that runs timed tasks under leases and service requests.
 
-A payload is JSON: ``{"token": ..., "seconds": ...}``. The run takes `seconds`; the token comes back
-in the answer, so that a caller can tell its own answer from another's.
+A payload is JSON: ``{"token": ..., "seconds": ...}``. The run takes `seconds`. The answer holds the
+token, so that a caller can distinguish its own answer from others.
 """
 
 from random import Random
@@ -17,12 +17,12 @@
 from ._faults import answered_on
 from ._server import make_app
 
-#: Wait of a client in memory for the answer to a control call. Unit: seconds.
+#: Time-out of control calls of :class:`MemoryWorker`. Unit: seconds.
 _TIMEOUT_S = 2.0
 
 
 class _Run:
-    """A task in progress."""
+    """An active task and its scheduled calls."""
 
     __slots__ = ("end", "hold_id", "lapse", "needs", "until")
 
@@ -35,7 +35,7 @@
 
 
 class WorkerState:
-    """What a worker does by its contract.
+    """State and behaviour of a worker according to its contract.
 
     Parameters
     ----------
@@ -44,14 +44,14 @@
     capacity : Amounts
     faults : Faults
     history : History, default=None
-        Where runs are recorded.
+        Record of the runs.
     random_state : random.Random, default=None
-        Source of first epochs; None: one seeded with the name.
+        Source of first epochs; None: a generator seeded with the name.
 
     Notes
     -----
-    It does not refuse work beyond its capacity: that this never comes is the system's promise,
-    and the history shows it.
+    The worker does not refuse work beyond its capacity: the scheduler guarantees the invariant that
+    no such work is sent, and tests check it in the history.
     """
 
     def __init__(self, *, clock, name, capacity, faults, history=None, random_state=None):
@@ -69,10 +69,10 @@
         self._barred_until = {}
         self._record(WorkerKnown, worker=name, capacity=capacity)
 
-    # The contract
+    # Calls of the contract
 
     def claim(self, value):
-        """Take a new owner; calls under former epochs are refused from now on."""
+        """Accept a new owner and start a new epoch; calls under earlier epochs are refused."""
         self.epoch += 1
         self.owner = value["owner"]
         return ClaimReport(
@@ -85,7 +85,7 @@
         )
 
     def sync(self, value):
-        """Renew, stop and forget; report."""
+        """Renew leases, stop tasks and drop acknowledged ends; return a report."""
         self._check_epoch(value["epoch"])
         for hold_id, until in value["renew"]:
             if hold_id in self.tasks:
@@ -104,14 +104,14 @@
         )
 
     def start(self, value):
-        """Start a task, unless it is known already or comes after its lease."""
+        """Start a task; ignore a repeated start, and refuse an expired or stopped one."""
         self._check_epoch(value["epoch"])
         hold_id = value["hold_id"]
         now = self.clock.seconds()
         if hold_id in self.tasks or hold_id in self.finished:
             return {}
         if value["until"] <= now or self._barred_until.get(hold_id, 0) > now:
-            raise WorkerRefusedError(f"{hold_id} may no longer start")
+            raise WorkerRefusedError(f"{hold_id} may not start: lease expired, stopped or ended")
         needs = _amounts(value["needs"])
         run = _Run(hold_id=hold_id, needs=needs, until=value["until"])
         self.tasks[hold_id] = run
@@ -123,7 +123,7 @@
 
     @inlineCallbacks
     def request(self, epoch, request_id, needs, payload, until):
-        """Run a service request, unless it comes late; return the answer."""
+        """Run a service request and return the answer; refuse the request after its deadline."""
         self._check_epoch(epoch)
         self._check_in_time(request_id, until)
         token, seconds = _read_payload(payload)
@@ -137,11 +137,11 @@
             how = "failed" if self.faults.fail_runs else "ok"
             self._record(RunEnded, worker=self.name, item=request_id, how=how)
         if self.faults.fail_runs:
-            raise AnvilflowError("the worker is sick")
+            raise AnvilflowError("the worker fails all runs: fault switch fail_runs is set")
         return {"token": token}
 
     def crash(self):
-        """Lose everything, as a worker does that fails and comes back."""
+        """Lose all state, as a worker does that crashes and restarts."""
         for hold_id in list(self.tasks):
             self._end(hold_id, "lost")
         self.finished.clear()
@@ -151,17 +151,17 @@
     # Internals
 
     def _first_epoch(self):
-        # A worker that comes back has forgotten its epochs. Counting again from 1 would let an
-        # owner of its former life pass for the present one.
+        # A restarted worker has lost its epochs. If it counted from 1 again, it would accept calls
+        # of an owner of its previous incarnation as calls of the current owner.
         return self.random_state.getrandbits(40) << 16
 
     def _check_epoch(self, epoch):
         if epoch != self.epoch:
-            raise WorkerRefusedError(f"epoch {epoch} is not {self.epoch}")
+            raise WorkerRefusedError(f"epoch {epoch} is not the current epoch {self.epoch}")
 
     def _check_in_time(self, request_id, until):
         if self.clock.seconds() > until:
-            raise WorkerRefusedError(f"{request_id} came too late")
+            raise WorkerRefusedError(f"{request_id} arrived after its deadline")
 
     def _seconds(self, seconds):
         return seconds * self.faults.size_factor
@@ -180,8 +180,8 @@
 
     def _end(self, hold_id, how):
         run = self.tasks.pop(hold_id)
-        # A start that was delayed on the way must not run the task a second time; its lease end
-        # is at most this far ahead, after which it is refused anyway.
+        # A delayed start must not run the task a second time. The lease that it names ends at this
+        # time at the latest, after which the start is refused anyway.
         self._barred_until[hold_id] = run.until
         for call in (run.end, run.lapse):
             if call is not None and call.active():
@@ -197,7 +197,7 @@
 
 
 class WorkerServer:
-    """Serves a :class:`WorkerState` over HTTP."""
+    """HTTP server for a :class:`WorkerState`."""
 
     def __init__(self, *, state):
         self.state = state
@@ -222,7 +222,10 @@
 
 
 class MemoryWorker:
-    """The interface of :class:`WorkerClient` on a :class:`WorkerState` in the same process."""
+    """Client with the interface of :class:`WorkerClient`.
+
+    Calls a :class:`WorkerState` in the same process.
+    """
 
     def __init__(self, *, state, clock):
         self.state = state
@@ -237,7 +240,7 @@
         return report
 
     def sync(self, *, renew, stop, forget):
-        """Renew, stop and forget."""
+        """Renew leases, stop tasks and drop acknowledged ends."""
         value = {"epoch": self.epoch, "renew": renew, "stop": stop, "forget": forget}
         return self._call(self.state.sync, value)
 
@@ -254,7 +257,7 @@
 
     @inlineCallbacks
     def request(self, *, request_id, workload, needs, payload, until, timeout):
-        """Run a request; after `timeout` it runs on, unanswered."""
+        """Run a request; after `timeout` the call fails, and the request continues unanswered."""
         args = (self.state.request, self.epoch, request_id, needs, payload, until)
         try:
             result = yield self._call(*args, timeout=timeout)
