--- a/anvilflow/standins/_metadata_store.py
+++ b/anvilflow/standins/_metadata_store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' metadata store: rows, conditional transactions, feeds."""
+"""Stand-in for the platform's metadata store: rows, conditional transactions, feeds."""
 
 import base64
 from enum import StrEnum
@@ -9,7 +9,7 @@
 
 
 class StoreCall(StrEnum):
-    """Calls of the store's protocol, by their paths."""
+    """URL paths of the store's protocol."""
 
     COMMIT = "/-/rows-tx"
     READ = "/-/rows-get"
@@ -17,7 +17,7 @@
 
 
 class MetadataStore:
-    """Rows by table, part and key under one version counter.
+    """In-memory rows by table, part and key, with one version counter for all changes.
 
     Parameters
     ----------
@@ -25,8 +25,10 @@
 
     Notes
     -----
-    Speaks the published protocol as far as anvilflow uses it. `log` keeps every change, so that
-    tests can see what was durable when.
+    Implements the part of the published protocol that anvilflow uses. `log` holds every change
+    with its time, so that tests can check what was durable at a given time. `n_writes` and
+    `n_reads` count the calls. A feed call that starts before the version `history_from` is
+    answered with status 410.
     """
 
     def __init__(self, *, clock):
@@ -37,10 +39,10 @@
         self.history_from = 0
         self.n_writes = 0
         self.n_reads = 0
-        self._waiting = []
+        self._waiters = []
 
     def handle(self, method, path, query, body, headers):
-        """Answer a call."""
+        """Return the status and body of the response to a call, or a Deferred of them."""
         match path:
             case StoreCall.COMMIT:
                 self.n_writes += 1
@@ -55,15 +57,15 @@
                 return 404, b""
 
     def put(self, table, key, value, *, part=""):
-        """Write a row as the operator or a worker does; return the version."""
+        """Write a row as the operator or a worker does; return the new version."""
         return self._write([(table, part, key, encode(value))])
 
     def remove(self, table, key, *, part=""):
-        """Remove a row."""
+        """Remove a row; return the new version."""
         return self._write([(table, part, key, None)])
 
-    def forget_history(self):
-        """Drop the history of changes."""
+    def drop_history(self):
+        """Drop the history of changes: feeds from earlier versions are answered with 410."""
         self.history_from = self.version
 
     def value(self, table, key, *, part=""):
@@ -93,7 +95,7 @@
             else:
                 self.rows[table, part, key] = (self.version, value)
             self.log.append((self.clock.seconds(), self.version, table, part, key, value))
-        for wake in self._waiting[:]:
+        for wake in self._waiters[:]:
             wake()
         return self.version
 
@@ -128,13 +130,13 @@
 
         def finish(changes):
             if not done.called:
-                self._waiting.remove(wake)
-                if late.active():
-                    late.cancel()
+                self._waiters.remove(wake)
+                if timeout_call.active():
+                    timeout_call.cancel()
                 done.callback((200, encode({"rows": changes, "ver": self.version})))
 
-        self._waiting.append(wake)
-        late = self.clock.callLater(int(query["wait-ms"]) / 1000, finish, [])
+        self._waiters.append(wake)
+        timeout_call = self.clock.callLater(int(query["wait-ms"]) / 1000, finish, [])
         return done
 
     def _changes(self, table, after):
@@ -144,8 +146,8 @@
                 keys[part, key] = value
         changes = []
         for (part, key), value in keys.items():
-            gone = {"table": table, "part": part, "key": key, "tombstone": True}
-            changes.append(gone if value is None else self._wire(table, part, key))
+            tombstone = {"table": table, "part": part, "key": key, "tombstone": True}
+            changes.append(tombstone if value is None else self._wire(table, part, key))
         return changes
 
     def _wire(self, table, part, key):
