--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,8 @@
-"""Soaks by hand: ``python -m soak --first 1 --seeds 50 --jobs 4``; with ``--seed 7``, just one."""
+"""Command line of the soak.
+
+``python -m soak many --first 1 --seeds 50 --jobs 4`` runs several seeds, ``python -m soak one 7``
+runs one, and ``python -m soak regressions`` runs every seed that has failed before.
+"""
 
 import random
 import shutil
@@ -11,20 +15,21 @@
 
 from ._run import run_seed
 
-#: A process that plays one seed and has not ended after this time hangs. Unit: seconds.
-LONGEST_S = 240
+#: Timeout of the process that runs one seed. Unit: seconds.
+SEED_TIMEOUT_S = 240
 
 FOLDER = Path("out/soak")
 
-#: Options of a seed that failed once, by the word after its number.
+#: Command-line options of a seed in ``seeds.txt``, by the mode that follows its number.
 _OPTIONS = {"config": ("--config=True",), "series": ("--config=True", "--series=2")}
 
 
 def one(seed, folder=None, config=False, instances=5, series=0):
-    """Play one seed; exit with 1 when a promise was broken.
+    """Run one seed; exit with status 1 if an invariant was violated.
 
-    With `config`, only faults that leave most instances calm, and what they make of the operator's
-    changes is checked more often. With `series`, so many faults besides that come several times.
+    With `config`, only faults that leave most instances undisturbed are injected, so that the
+    configuration in force is checked more often. `series` is the number of additional faults that
+    are repeated in quick succession.
     """
     verdict = run_seed(
         seed,
@@ -43,7 +48,7 @@
 
 
 def many(first=None, seeds=8, jobs=4, config=False, instances=5, series=0):
-    """Play several seeds side by side, fresh ones without `first`; keep the logs of bad ones."""
+    """Run several seeds in parallel, from a random one without `first`; keep logs of failed ones."""
     first = random.SystemRandom().randrange(10**6) if first is None else first
     with ThreadPoolExecutor(max_workers=jobs) as pool:
         options = [f"--config={config}", f"--instances={instances}", f"--series={series}"]
@@ -54,7 +59,7 @@
 
 
 def regressions(jobs=4):
-    """Play every seed that ever failed, as ``soak/seeds.txt`` lists them."""
+    """Run every seed that has failed before, as listed in ``soak/seeds.txt``."""
     lines = (Path(__file__).parent / "seeds.txt").read_text(encoding="utf-8").splitlines()
     cases = [line.split()[:2] for line in lines if line and not line.startswith("#")]
     with ThreadPoolExecutor(max_workers=jobs) as pool:
@@ -74,10 +79,10 @@
     shutil.rmtree(folder, ignore_errors=True)
     command = [sys.executable, "-m", "soak", "one", str(seed), *options]
     try:
-        done = subprocess.run(command, capture_output=True, text=True, timeout=LONGEST_S)
+        done = subprocess.run(command, capture_output=True, text=True, timeout=SEED_TIMEOUT_S)
         output, is_good = done.stdout + done.stderr[-2000:], done.returncode == 0
     except subprocess.TimeoutExpired:
-        output, is_good = f"seed {seed}: not ended after {LONGEST_S} s\n", False
+        output, is_good = f"seed {seed}: not ended after {SEED_TIMEOUT_S} s\n", False
     print(output, end="", flush=True)
     if is_good:
         shutil.rmtree(folder, ignore_errors=True)
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers: each submits a job, repeats what is in doubt, watches it, and sometimes cancels it."""
+"""Callers that submit jobs, retry unanswered requests, poll the jobs and cancel some of them."""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
@@ -8,29 +8,34 @@
 from anvilflow.standins import make_job_body
 from anvilflow.utils import decode_lenient
 
-#: Wait for an answer. Unit: seconds.
-ANSWER_S = 3.0
+#: Timeout of one request. Unit: seconds.
+REQUEST_TIMEOUT_S = 3.0
 
-#: Time for which a caller repeats a submit that is in doubt or refused. Unit: seconds.
-PATIENCE_S = 12.0
+#: Time for which a caller retries a submit that was refused or got no answer. Unit: seconds.
+SUBMIT_TIMEOUT_S = 12.0
 
-#: Pause between looks at a job's state. Unit: seconds.
-LOOK_S = 0.4
+#: Interval between polls of a job's state. Unit: seconds.
+POLL_INTERVAL_S = 0.4
 
-#: Share of the jobs that crash their workers.
+#: Fraction of the jobs that crash their workers.
 CRASH_SHARE = 0.03
 
 #: Delays from the start of a task to the crash of its worker. Unit: seconds.
 CRASH_DELAYS_S = (0.01, 0.01, 0.5, 1.5)
 
-#: States that a job never leaves.
-ENDS = frozenset({"completed", "failed", "cancelled"})
+#: Final states of a job.
+END_STATES = frozenset({"completed", "failed", "cancelled"})
 
 _HOST = {b"host": [b"desk.example"], b"content-type": [b"application/json"]}
 
 
 class Call(Struct, kw_only=True):
-    """What a caller knows of its job."""
+    """A caller's record of its job.
+
+    `how` is the outcome of the job's tasks, `shown` the last state that a call returned. `in_doubt`
+    is set when a submit may have been accepted without an acknowledgement. `cancelled` is set
+    before the cancellation is sent, `cancelled_at` is when it was acknowledged.
+    """
 
     job_id: str
     path: str
@@ -45,13 +50,13 @@
 
 
 class Callers:
-    """Makes jobs and follows them.
+    """Submits jobs and polls them until they end.
 
     Parameters
     ----------
     reactor : IReactorTime
     fronts : dict of str to str
-        Where each instance takes calls.
+        Address at which each instance accepts callers' connections.
     random_state : random.Random
     judge : Judge
     crash_random_state : random.Random
@@ -59,15 +64,15 @@
 
     Notes
     -----
-    `acknowledged` is called with "accepted", "cancelled" or "completed" in the moment in which a
-    caller is told so.
+    `acknowledged` is called with "accepted", "cancelled" or "completed" as soon as a caller
+    receives that acknowledgement.
     """
 
-    def __init__(self, *, reactor, fronts, random_state, judge, crash_random_state):
+    def __init__(self, *, reactor, fronts, random_state, checker, crash_random_state):
         self.reactor = reactor
         self.fronts = fronts
         self.random_state = random_state
-        self.judge = judge
+        self.checker = checker
         self.crash_random_state = crash_random_state
         self.calls = []
         self.acknowledged = lambda what: None
@@ -80,7 +85,7 @@
         return deferLater(self.reactor, delay, lambda: None)
 
     def make_call(self):
-        """Return a new job: one to three steps; one in eight fails, one in six is cancelled."""
+        """Return a random job of one to three steps; about one in eight is made to fail."""
         rng = self.random_state
         job_id = f"{rng.getrandbits(64):016x}"
         queue = rng.choice(["urgent", "urgent", "bulk"])
@@ -103,8 +108,8 @@
         )
 
     @inlineCallbacks
-    def run_one(self):
-        """Submit one job and follow it until its end is shown, or until the judge says stop."""
+    def run_job(self):
+        """Submit one job and poll it until it has ended or the soak is over; cancel about one in six."""
         call = self.make_call()
         self.calls.append(call)
         cancels = self.random_state.random() < 0.16
@@ -118,13 +123,13 @@
         if cancels:
             yield self._sleep(self.random_state.uniform(0.0, 2.0))
             yield self._cancel(call)
-        while not self.judge.over and call.shown not in ENDS:
-            yield self._look(call)
-            yield self._sleep(LOOK_S)
+        while not self.checker.is_over and call.shown not in END_STATES:
+            yield self._poll(call)
+            yield self._sleep(POLL_INTERVAL_S)
 
     @inlineCallbacks
     def _submit(self, call, body):
-        until = self._now() + PATIENCE_S
+        until = self._now() + SUBMIT_TIMEOUT_S
         while self._now() < until:
             status, _ = yield self._ask(b"POST", call.path, body)
             if status == 200:
@@ -136,33 +141,33 @@
 
     @inlineCallbacks
     def _cancel(self, call):
-        # Said before it is asked: a cancelling without an answer may take effect.
+        # Set before the request is sent: a cancellation without an answer may take effect.
         call.cancelled = True
-        while not self.judge.over:
+        while not self.checker.is_over:
             status, _ = yield self._ask(b"DELETE", call.path)
             if status in (200, 410):
                 call.cancelled_at = self._now()
                 self.acknowledged("cancelled")
                 return
-            yield self._sleep(LOOK_S)
+            yield self._sleep(POLL_INTERVAL_S)
 
     @inlineCallbacks
-    def _look(self, call):
+    def _poll(self, call):
         status, value = yield self._ask(b"GET", call.path)
         if status == 200:
             before, call.shown = call.shown, value["state"]
-            self.judge.state_shown(call, before)
+            self.checker.state_shown(call, before)
             if call.shown == "completed":
                 self.acknowledged("completed")
         elif status == 410:
-            self.judge.job_denied(call)
+            self.checker.job_not_found(call)
 
     @inlineCallbacks
-    def look_again(self):
-        """Ask once more for each end that was shown: it must have stayed."""
+    def recheck_end_states(self):
+        """Poll every job once more that was shown in a final state: the state must not have changed."""
         for call in self.calls:
-            if call.shown in ENDS:
-                yield self._look(call)
+            if call.shown in END_STATES:
+                yield self._poll(call)
 
     def _ask(self, method, path, body=b""):
         name = self.random_state.choice(sorted(self.fronts))
@@ -170,13 +175,13 @@
 
     @inlineCallbacks
     def ask(self, name, method, path, body=b""):
-        """Call an instance; return status and value, or twice None without an answer."""
+        """Call an instance; return the status and the decoded body, or (None, None) without an answer."""
         front = self.fronts[name]
         url = f"http://{front}{path}"
         try:
             status, answer = yield self._http.call(
-                method, url, body, timeout=ANSWER_S, headers=_HOST
+                method, url, body, timeout=REQUEST_TIMEOUT_S, headers=_HOST
             )
-        except Exception:  # whatever way a call fails in: it has no answer, and the caller says so
+        except Exception:  # every kind of failure counts as no answer
             return None, None
         return status, decode_lenient(answer) if answer else None
--- a/soak/_config_watch.py
+++ b/soak/_config_watch.py
@@ -1,53 +1,58 @@
-"""Asks all instances, all through a run, for queues that were added and dropped."""
+"""Continuous check of the configuration that each instance has in force.
+
+Each version of the configuration adds a queue and removes that of the version before. All instances
+are queried for both throughout a soak.
+"""
 
 from msgspec import Struct
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.task import deferLater
 
-#: Time in which a change must be in force everywhere. Unit: seconds.
+#: Maximum time from a change until it is in force on all undisturbed instances. Unit: seconds.
 APPLY_S = 2.0
 
-#: Time after an answer from which the same process may not go by an older version. Unit: seconds.
-DOWNGRADE_S = 0.25
+#: Time after an answer by a version from which the same process may not use an older one.
+#: Unit: seconds.
+REGRESSION_GRACE_S = 0.25
 
-#: Period of looking whether this process is late, and the lateness from which the machine counts as
-#: slow, so that its instances are late, too. Unit: seconds.
-LAG_PERIOD_S = 0.1
-SLOW_S = 0.2
+#: Interval at which the lag of this process's timers is checked, and the lag above which the machine
+#: counts as overloaded, so that the instances lag, too. Unit: seconds.
+LAG_CHECK_INTERVAL_S = 0.1
+MAX_LAG_S = 0.2
 
-#: Pauses between two questions to one instance: at the least, and for each instance there is, since
-#: one process asks them all. Unit: seconds.
-ASK_EVERY_S = 0.1
-ASK_EACH_S = 0.015
+#: Pause between two rounds of queries to one instance: its minimum, and a share for each instance,
+#: because one process queries all of them. Unit: seconds.
+MIN_QUERY_PAUSE_S = 0.1
+QUERY_PAUSE_PER_INSTANCE_S = 0.015
 
-#: Pauses between two changes; a version that is not replaced for 2 s is checked. Unit: seconds.
+#: Pauses between two changes. Only a version that is not replaced for 2 s is checked. Unit: seconds.
 CHANGE_PAUSES_S = (0.2, 0.6, 2.5, 3.0, 3.5, 5.0)
 
-#: A job that nobody submitted.
+#: Id of a job that was never submitted.
 _NO_JOB = "0" * 16
 
 
-class Question(Struct, kw_only=True):
-    """What one instance was asked, and when. Unit of `at`: seconds.
+class ConfigQuery(Struct, kw_only=True):
+    """One query to an instance, sent at time `at`. Unit of `at`: seconds.
 
-    `version` is the newest when it was asked, `asked` the one whose queue the path names.
+    `version` is the newest version at that time, `path_version` the one whose queue `path` names.
     """
 
     name: str
     process: int
     path: str
     version: int
-    asked: int
+    path_version: int
     at: float
 
     @property
-    def is_count(self):
-        """Whether it asks for the number of jobs that wait."""
-        return self.path.endswith(f"/v{self.asked}/")
+    def is_count_query(self):
+        """Whether the query asks for the number of pending jobs."""
+        return self.path.endswith(f"/v{self.path_version}/")
 
 
 class ConfigWatch:
-    """Changes the configuration in series, and checks what each instance makes of it.
+    """Changes the configuration repeatedly and checks which version each instance uses.
 
     Parameters
     ----------
@@ -61,32 +66,34 @@
 
     Notes
     -----
-    `changes` may be set to False: no changes are made then but those of others.
+    While `changes_enabled` is False, this class makes no changes.
     """
 
-    def __init__(self, *, reactor, world, instances, callers, judge, calm, random_state):
+    def __init__(
+        self, *, reactor, environment, instances, callers, checker, disturbances, random_state
+    ):
         self.reactor = reactor
-        self.world = world
+        self.environment = environment
         self.instances = instances
         self.callers = callers
-        self.judge = judge
-        self.calm = calm
+        self.checker = checker
+        self.disturbances = disturbances
         self.random_state = random_state
         self.n_checked = 0
-        self.changes = True
+        self.changes_enabled = True
         self._is_over = False
         self._seen = {}
 
     def start(self):
-        """Begin; return the Deferreds of what goes on until :meth:`stop`."""
+        """Start; return the Deferreds of the activities that run until :meth:`stop`."""
         return [
             self._change(),
             self._watch_machine(),
-            *(self._ask_one(name) for name in self.instances.names),
+            *(self._query_instance(name) for name in self.instances.names),
         ]
 
     def stop(self):
-        """Ask and change no more."""
+        """Stop all queries and changes."""
         self._is_over = True
 
     def _sleep(self, delay):
@@ -96,88 +103,93 @@
     def _change(self):
         while not self._is_over:
             yield self._sleep(self.random_state.choice(CHANGE_PAUSES_S))
-            if self.changes and not self._is_over:
-                self.world.change_config()
+            if self.changes_enabled and not self._is_over:
+                self.environment.change_config()
 
     @inlineCallbacks
     def _watch_machine(self):
-        """Note when the machine is short of processor: bounds do not hold on one that is slow."""
+        """Record a disturbance of all instances when the machine is overloaded: no bounds apply then."""
         while not self._is_over:
-            due_at = self.reactor.seconds() + LAG_PERIOD_S
-            yield self._sleep(LAG_PERIOD_S)
-            if self.reactor.seconds() - due_at > SLOW_S:
-                self.calm.disturb(self.instances.names)
+            due_at = self.reactor.seconds() + LAG_CHECK_INTERVAL_S
+            yield self._sleep(LAG_CHECK_INTERVAL_S)
+            if self.reactor.seconds() - due_at > MAX_LAG_S:
+                self.disturbances.add_disturbance(self.instances.names)
 
     @inlineCallbacks
-    def _ask_one(self, name):
-        pause = max(ASK_EVERY_S, ASK_EACH_S * len(self.instances.names))
+    def _query_instance(self, name):
+        pause = max(MIN_QUERY_PAUSE_S, QUERY_PAUSE_PER_INSTANCE_S * len(self.instances.names))
         while not self._is_over:
-            for back, ending in ((0, ""), (1, ""), (0, _NO_JOB)):
+            for back, suffix in ((0, ""), (1, ""), (0, _NO_JOB)):
                 process = self.instances.process_of(name)
                 if process is not None and name in self.callers.fronts:
-                    yield self._ask(name, process, back, ending)
+                    yield self._query(name, process, back, suffix)
             yield self._sleep(pause)
 
     @inlineCallbacks
-    def _ask(self, name, process, back, ending):
-        version = self.world.config_version
-        question = Question(
+    def _query(self, name, process, back, suffix):
+        version = self.environment.config_version
+        config_query = ConfigQuery(
             name=name,
             process=process,
-            path=f"/v{version - back}/{ending}",
+            path=f"/v{version - back}/{suffix}",
             version=version,
-            asked=version - back,
+            path_version=version - back,
             at=self.reactor.seconds(),
         )
-        status, _ = yield self.callers.ask(name, b"GET", question.path)
+        status, _ = yield self.callers.ask(name, b"GET", config_query.path)
         if self.instances.process_of(name) == process:
             if status is not None:
-                self.calm.answered(name)
-            self._check_regress(question, status)
-            self._check_in_force(question, status)
+                self.disturbances.first_answer(name)
+            self._check_regression(config_query, status)
+            self._check_in_force(config_query, status)
 
-    def _check_regress(self, question, status):
-        """Check that a process does not go by an older version than it has gone by before."""
-        key = (question.name, question.process)
+    def _check_regression(self, config_query, status):
+        """Check that a process does not use an older version than it has used before."""
+        key = (config_query.name, config_query.process)
         seen, seen_at = self._seen.get(key, (0, 0.0))
-        if question.asked < question.version:
+        if config_query.path_version < config_query.version:
             is_older = status == 200
         else:
-            # A queue is also unknown to an instance that has a newer version already.
-            is_older = status == 404 and question.version == self.world.config_version
-        shows = question.asked - 1 if status == 404 else question.asked
-        if is_older and shows < seen and question.at > seen_at + DOWNGRADE_S:
-            self.judge.went_back(question.name, question.path, seen, status)
-        if status == 200 and question.asked > seen:
-            self._seen[key] = (question.asked, self.reactor.seconds())
-
-    def _check_in_force(self, question, status):
-        """Check that the newest version is in force where it must be."""
-        is_due = question.at > self.world.config_at + APPLY_S
-        is_newest = question.version == self.world.config_version
-        if not (is_due and is_newest and self.calm.holds(question.name, question.at)):
+            # An instance with a newer version answers 404 for this queue, too.
+            is_older = status == 404 and config_query.version == self.environment.config_version
+        shows = config_query.path_version - 1 if status == 404 else config_query.path_version
+        if is_older and shows < seen and config_query.at > seen_at + REGRESSION_GRACE_S:
+            self.checker.version_regressed(config_query.name, config_query.path, seen, status)
+        if status == 200 and config_query.path_version > seen:
+            self._seen[key] = (config_query.path_version, self.reactor.seconds())
+
+    def _check_in_force(self, config_query, status):
+        """Check that an undisturbed instance uses the newest version once it is due."""
+        is_due = config_query.at > self.environment.config_at + APPLY_S
+        is_newest = config_query.version == self.environment.config_version
+        if not (
+            is_due
+            and is_newest
+            and self.disturbances.is_undisturbed(config_query.name, config_query.at)
+        ):
             return
-        if status is None and self._is_refused(question):
+        if status is None and self._is_refused(config_query):
             return
         self.n_checked += 1
-        if not _is_right(question, status):
-            age_s = question.at - self.world.config_at
-            self.judge.config_not_in_force(question, status, age_s)
+        if not _is_allowed_answer(config_query, status):
+            age_s = config_query.at - self.environment.config_at
+            self.checker.config_not_in_force(config_query, status, age_s)
 
-    def _is_refused(self, question):
-        """Whether an instance that is told to stop takes no more connections.
+    def _is_refused(self, config_query):
+        """Return whether a terminating instance refused the connection of a query.
 
-        Its callers go elsewhere; one whose connection was taken must be answered.
+        Callers use other instances then. A call on an accepted connection must be answered.
         """
-        refused_at = self.world.proxies[f"{question.name} front"].refused_at
-        return question.name in self.instances.leaving and refused_at >= question.at
+        refused_at = self.environment.proxies[f"{config_query.name} front"].refused_at
+        return config_query.name in self.instances.terminating and refused_at >= config_query.at
 
 
-def _is_right(question, status):
-    """Whether an answer is one that the newest version allows.
+def _is_allowed_answer(config_query, status):
+    """Return whether the newest version allows an answer.
 
-    Only the count is promised whatever else fails: a job's state may have nobody to tell it.
+    Only the number of pending jobs is guaranteed under every failure. A job's state may be
+    unavailable because no instance can report it.
     """
-    if question.asked < question.version:
+    if config_query.path_version < config_query.version:
         return status == 404
-    return status == 200 if question.is_count else status not in (None, 404)
+    return status == 200 if config_query.is_count_query else status not in (None, 404)
--- a/soak/_world.py
+++ b/soak/_environment.py
@@ -1,4 +1,4 @@
-"""What surrounds the instances: store, advice and workers on real sockets, behind proxies."""
+"""Environment of the instances: store, advice service and workers on sockets, behind proxies."""
 
 from urllib.parse import parse_qsl
 
@@ -16,7 +16,7 @@
 
 from ._proxy import Proxy
 
-#: How long the advice on a step takes. Unit: seconds.
+#: Time that the advice service takes for one step. Unit: seconds.
 ADVICE_S = 0.03
 
 #: Delay from the crash of a worker by a task to its restart. Unit: seconds.
@@ -26,7 +26,7 @@
 
 
 class StandinResource(Resource):
-    """Serves a stand-in's ``handle`` over HTTP, with the fault switches of the virtual wire."""
+    """Serves a stand-in's ``handle`` over HTTP, with the fault switches of the simulated network."""
 
     isLeaf = True
 
@@ -37,7 +37,7 @@
         self.faults = faults
 
     def render(self, request):
-        """Answer a call, or do with it what the faults say."""
+        """Answer a request, subject to the faults that are switched on."""
         faults = self.faults
         if faults.silent:
             return NOT_DONE_YET
@@ -49,26 +49,26 @@
         for name in (b"x-expect-instance",):
             headers[name] = request.requestHeaders.getRawHeaders(name, [b""])
         call = (request.method, path, dict(parse_qsl(query)), request.content.read(), headers)
-        gone = []
-        request.notifyFinish().addErrback(gone.append)
+        disconnects = []
+        request.notifyFinish().addErrback(disconnects.append)
         if faults.late_s:
             self.reactor.callLater(faults.late_s, self.standin.handle, *call)
         elif faults.slow_s:
-            self.reactor.callLater(faults.slow_s, self._act, request, gone, call)
+            self.reactor.callLater(faults.slow_s, self._handle, request, disconnects, call)
         else:
-            self._act(request, gone, call)
+            self._handle(request, disconnects, call)
         return NOT_DONE_YET
 
-    def _act(self, request, gone, call):
+    def _handle(self, request, disconnects, call):
         loses = self.faults.loses_answers
         done = maybeDeferred(self.standin.handle, *call)
         if not loses:
-            done.addCallback(_answer, request, gone)
+            done.addCallback(_answer, request, disconnects)
 
 
-def _answer(result, request, gone):
+def _answer(result, request, disconnects):
     status, body = result
-    if gone:
+    if disconnects:
         return
     request.setResponseCode(status)
     request.setHeader(b"content-length", str(len(body)).encode())
@@ -77,35 +77,35 @@
 
 
 class SoakWorker(OrderWorker):
-    """A worker that marks the ends that nobody took note of before its lease lapsed or it died.
+    """A worker that marks the ends not acknowledged before its lease lapsed or it crashed.
 
-    Such an end is not known to anybody who may start the task again: the promise that a task is
-    not started after it was done does not hold for it.
+    No instance knows of such an end, so the task may be started again: the invariant that a task is
+    not started after it was done does not apply.
     """
 
-    def mark_untold(self):
-        """Mark the ends that have not been acknowledged."""
-        untold = {(task, run_id) for _, task, run_id, _, _ in self.finished}
+    def mark_unacknowledged_ends(self):
+        """Mark the runs whose ends have not been acknowledged."""
+        unacknowledged = {(task, run_id) for _, task, run_id, _, _ in self.finished}
         for span in self.spans:
-            if span.worker == self.worker_id and (span.task, span.run_id) in untold:
+            if span.worker == self.worker_id and (span.task, span.run_id) in unacknowledged:
                 span.how = "untold" if span.how == "done" else span.how
 
     def _lapse(self):
-        self.mark_untold()
+        self.mark_unacknowledged_ends()
         super()._lapse()
 
 
-class World:
-    """Stand-ins of the platform.
+class Environment:
+    """Runs the stand-ins of the platform.
 
     Parameters
     ----------
     reactor : IReactorTCP
     host : str
-        Loopback address to listen at.
+        Loopback address to listen on.
     n_workers : int
     cpu : int, default=8000
-        Of each worker. Unit: thousandths of a core.
+        Capacity of each worker. Unit: thousandths of a core.
     """
 
     def __init__(self, *, reactor, host, n_workers, cpu=8000):
@@ -125,8 +125,8 @@
         self.advice = AdviceServer(clock=reactor, allowed=set(), base_s=ADVICE_S)
         self.advice_target = self._serve(self.advice, WireFaults())
         self.change_config()
-        self._n_lives = 0
-        self.places = [self._make_place(number) for number in range(n_workers)]
+        self._n_workers_started = 0
+        self.worker_slots = [self._make_worker_slot(number) for number in range(n_workers)]
 
     def _serve(self, standin, faults):
         site = Site(StandinResource(reactor=self.reactor, standin=standin, faults=faults))
@@ -135,12 +135,12 @@
         return self.host, port.getHost().port
 
     def make_proxy(self, name, target):
-        """Return a new proxy in front of a target; it is found under `name`."""
+        """Return a new proxy in front of a target, and add it to `proxies` as `name`."""
         self.proxies[name] = Proxy(reactor=self.reactor, host=self.host, target=target)
         return self.proxies[name]
 
     def change_config(self, *, n_more=0):
-        """Write a newer configuration: with a queue of its own, and `n_more` routes."""
+        """Write a newer configuration with a queue of its own and `n_more` additional routes."""
         self.config_version += 1
         self.n_routes += n_more
         rules = {"decide-ms": ADVICE_S * 1000, "each-ms": 0.1, "valid-ms": 2500}
@@ -151,61 +151,61 @@
         self.store.put("op", "config", config)
         self.config_at = self.reactor.seconds()
 
-    def _make_place(self, number):
-        place = _Place(name=f"w{number}", faults=WireFaults())
-        target = self._serve(place, place.faults)
-        place.address = self.make_proxy(place.name, target).address
-        self.new_life(place)
-        return place
+    def _make_worker_slot(self, number):
+        worker_slot = _WorkerSlot(name=f"w{number}", faults=WireFaults())
+        target = self._serve(worker_slot, worker_slot.faults)
+        worker_slot.address = self.make_proxy(worker_slot.name, target).address
+        self.start_worker(worker_slot)
+        return worker_slot
 
-    def new_life(self, place):
-        """Start a worker at a place, where another may have died; return it."""
-        self._n_lives += 1
+    def start_worker(self, worker_slot):
+        """Start a new worker in a slot, in place of any earlier one; return it."""
+        self._n_workers_started += 1
         worker = SoakWorker(
             clock=self.reactor,
-            worker_id=f"i-{self._n_lives:04x}",
-            address=place.address,
+            worker_id=f"i-{self._n_workers_started:04x}",
+            address=worker_slot.address,
             cpu=self.cpu,
             spans=self.spans,
             sizes=_sizes,
         )
-        place.worker = worker
-        worker.on_crash = lambda: self._worker_crashed(place)
+        worker_slot.worker = worker
+        worker.on_crash = lambda: self._worker_crashed(worker_slot)
         self.workers[worker.worker_id] = worker
         self.advice.allowed.add(worker.worker_id)
         self.store.put("servers", worker.worker_id, worker.entry())
         return worker
 
-    def crash(self, place):
-        """End a worker's life; ends that nobody took note of are lost with it."""
-        worker = place.worker
-        worker.mark_untold()
+    def crash(self, worker_slot):
+        """Crash a worker; its unacknowledged ends are lost."""
+        worker = worker_slot.worker
+        worker.mark_unacknowledged_ends()
         worker.crash()
         self.store.remove("servers", worker.worker_id)
 
-    def _worker_crashed(self, place):
-        """Remove the entry of a worker that a task has crashed; restart it later under a new id."""
-        place.worker.mark_untold()
-        self.store.remove("servers", place.worker.worker_id)
-        self.reactor.callLater(RESTART_DELAY_S, self.new_life, place)
+    def _worker_crashed(self, worker_slot):
+        """Remove the registry entry of a worker that a task crashed; restart it later with a new id."""
+        worker_slot.worker.mark_unacknowledged_ends()
+        self.store.remove("servers", worker_slot.worker.worker_id)
+        self.reactor.callLater(RESTART_DELAY_S, self.start_worker, worker_slot)
 
-    def set_capacity(self, place, cpu):
-        """Change a worker's capacity at run time and update its entry."""
-        place.worker.set_capacity(cpu)
-        self.store.put("servers", place.worker.worker_id, place.worker.entry())
+    def set_capacity(self, worker_slot, cpu):
+        """Change a worker's capacity at run time and update its registry entry."""
+        worker_slot.worker.set_capacity(cpu)
+        self.store.put("servers", worker_slot.worker.worker_id, worker_slot.worker.entry())
 
-    def drain(self, place):
-        """Let a worker say that it leaves."""
-        worker = place.worker
+    def drain(self, worker_slot):
+        """Mark a worker as draining in the registry."""
+        worker = worker_slot.worker
         self.store.put("servers", worker.worker_id, worker.entry(state="draining"))
 
     def heal(self):
         """End all faults."""
         self.store_faults.clear()
-        for place in self.places:
-            place.faults.clear()
-            if place.worker.alive and place.worker.cpu != self.cpu:
-                self.set_capacity(place, self.cpu)
+        for worker_slot in self.worker_slots:
+            worker_slot.faults.clear()
+            if worker_slot.worker.alive and worker_slot.worker.cpu != self.cpu:
+                self.set_capacity(worker_slot, self.cpu)
         for proxy in self.proxies.values():
             proxy.heal()
 
@@ -217,8 +217,8 @@
             port.stopListening()
 
 
-class _Place:
-    """An address at which one worker after another lives."""
+class _WorkerSlot:
+    """An address that is used by one worker at a time, and by its successors."""
 
     def __init__(self, *, name, faults):
         self.name = name
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -1,10 +1,10 @@
-"""Random faults, in series and overlapping, from one seed."""
+"""Random faults drawn from a seed: overlapping faults and repeated ones."""
 
 import signal
 
 from msgspec import Struct
 
-#: Kinds of faults with their weights: what hits the deciding instance comes most often.
+#: Kinds of faults with their weights. Faults of the leader have the largest weights.
 KINDS = {
     "kill": 3,
     "kill home": 4,
@@ -35,8 +35,8 @@
     "worker unregistered": 1,
 }
 
-#: Kinds that are drawn by themselves, so that the seeds that failed once keep their faults.
-LATER_KINDS = {"clock ahead": 1, "clock back": 1, "clocks ahead": 1, "clocks back": 1}
+#: Steps of the time of day; drawn separately, so that seeds that failed before keep their faults.
+CLOCK_KINDS = {"clock ahead": 1, "clock back": 1, "clocks ahead": 1, "clocks back": 1}
 
 #: Changes of a worker's capacity; drawn separately, so that existing seeds keep their faults.
 CAPACITY_KINDS = {"worker resized": 1}
@@ -44,8 +44,9 @@
 #: Capacities that a worker can be changed to. Unit: thousandths of a core.
 CAPACITIES = (1000, 3000, 8000, 12_000)
 
-#: What leaves most instances calm, so that what they make of the configuration is checked: drawn by
-#: themselves in every soak, and alone in those that watch the configuration above all.
+#: Faults that leave most instances undisturbed, so that the configuration in force there can be
+#: checked. They are drawn separately in every soak, and are the only ones besides series and changes
+#: of capacity in a soak that mainly checks the configuration.
 CONFIG_KINDS = {
     "kill home": 6,
     "pause home": 4,
@@ -67,8 +68,8 @@
     "worker crash": 1,
 }
 
-#: Faults that come several times, close together, so that they hit what recovers from the last one;
-#: how often, and how far apart. Unit: seconds.
+#: Faults that are repeated in quick succession, so that each hits the recovery from the one before;
+#: the number of repetitions and the pauses between them. Unit: seconds.
 SERIES_KINDS = {"series: kill home": 2, "series: pause home": 1, "series: reload home": 1}
 SERIES_LENGTH = 4
 SERIES_PAUSES_S = (0.2, 0.4, 0.7)
@@ -77,23 +78,23 @@
 
 
 class Fault(Struct, kw_only=True):
-    """One fault. Unit of `at` and `for_s`: seconds."""
+    """One fault; `selector`, from 0 to 1, selects its target. Unit of `at` and `for_s`: seconds."""
 
     at: float
     for_s: float
     kind: str
-    pick: float
+    selector: float
 
 
 def make_faults(random_state, *, n_faults, seconds, weights=KINDS):
-    """Return `n_faults` within a time, ordered by their beginnings."""
+    """Return `n_faults` random faults that begin within `seconds`, ordered by their begin."""
     kinds = random_state.choices(list(weights), weights=list(weights.values()), k=n_faults)
     faults = [
         Fault(
             at=random_state.uniform(0.5, seconds),
             for_s=random_state.choice([0.3, 1.0, 2.0, 4.0]),
             kind=kind,
-            pick=random_state.random(),
+            selector=random_state.random(),
         )
         for kind in kinds
     ]
@@ -101,7 +102,7 @@
 
 
 class Injector:
-    """Carries faults out.
+    """Injects faults.
 
     Parameters
     ----------
@@ -110,46 +111,48 @@
     instances : Instances
     random_state : random.Random
     calm : Calm, default=None
-        Hears whom a fault of connections or of the store disturbs.
+        Records which instances a fault of connections or of the store disturbs.
     """
 
-    def __init__(self, *, reactor, world, instances, random_state, calm=None):
+    def __init__(self, *, reactor, environment, instances, random_state, disturbances=None):
         self.reactor = reactor
-        self.world = world
+        self.environment = environment
         self.instances = instances
         self.random_state = random_state
-        self.calm = calm
+        self.disturbances = disturbances
 
-    def plan(self, faults):
-        """Set the clock for each fault."""
+    def schedule_faults(self, faults):
+        """Schedule the injection of each fault."""
         for fault in faults:
             self.reactor.callLater(fault.at, self.inject, fault)
 
-    def _later(self, delay, call, *args):
+    def _schedule(self, delay, call, *args):
         self.reactor.callLater(delay, call, *args)
 
     def _disturb(self, names, for_s=0.0):
-        if self.calm is not None:
-            self.calm.disturb(names, for_s)
+        if self.disturbances is not None:
+            self.disturbances.add_disturbance(names, for_s)
 
     def _leader(self):
-        row = self.world.store.value("home", "home", part="cell")
+        row = self.environment.store.value("home", "home", part="cell")
         return row["holder"] if row else self.instances.names[0]
 
     def _instance(self, fault):
         names = self.instances.names
-        return self._leader() if "home" in fault.kind else names[int(fault.pick * len(names))]
+        return self._leader() if "home" in fault.kind else names[int(fault.selector * len(names))]
 
-    def _place(self, fault):
-        return self.world.places[int(fault.pick * len(self.world.places))]
+    def _worker_slot(self, fault):
+        return self.environment.worker_slots[
+            int(fault.selector * len(self.environment.worker_slots))
+        ]
 
     def _proxy(self, fault):
-        # Not those in front of callers, who cannot tell a fault there from one of the instance.
-        names = sorted(name for name in self.world.proxies if not name.endswith("front"))
-        return self.world.proxies[names[int(fault.pick * len(names))]]
+        # Without the proxies of callers, who cannot distinguish a fault there from one of the instance.
+        names = sorted(name for name in self.environment.proxies if not name.endswith("front"))
+        return self.environment.proxies[names[int(fault.selector * len(names))]]
 
     def inject(self, fault):
-        """Begin a fault and set the time of its end."""
+        """Begin a fault and schedule its end."""
         match fault.kind.split():
             case ["series:", *what]:
                 self._begin_series(fault, " ".join(what))
@@ -160,51 +163,51 @@
             case ["pause", *_]:
                 name = self._instance(fault)
                 self.instances.send(name, signal.SIGSTOP)
-                self._later(fault.for_s, self.instances.send, name, signal.SIGCONT)
+                self._schedule(fault.for_s, self.instances.send, name, signal.SIGCONT)
             case ["drain", *_]:
                 name = self._instance(fault)
                 self.instances.send(name, signal.SIGTERM)
-                self._later(7.0, self.instances.start, name)
+                self._schedule(7.0, self.instances.start, name)
             case ["clock" | "clocks" as which, way]:
                 names = [self._instance(fault)] if which == "clock" else self.instances.names
                 back = "back" if way == "ahead" else "ahead"
                 for name in names:
                     self.instances.send(name, _CLOCK_SIGNALS[way])
-                    self._later(fault.for_s, self.instances.send, name, _CLOCK_SIGNALS[back])
+                    self._schedule(fault.for_s, self.instances.send, name, _CLOCK_SIGNALS[back])
             case ["reload", *_]:
                 self.instances.send(self._instance(fault), signal.SIGHUP)
             case ["config"]:
-                self.world.change_config()
+                self.environment.change_config()
             case ["silence", "stores" | "peers" | "both" as which]:
                 self._silence_all(which)
             case ["home's", end, what]:
-                proxy = self.world.proxies[f"{self._leader()} {end}"]
-                self._connections(fault, proxy, "cut both" if what == "cut" else what)
+                proxy = self.environment.proxies[f"{self._leader()} {end}"]
+                self._inject_connection_fault(fault, proxy, "cut both" if what == "cut" else what)
             case ["store", *what]:
-                self._store(" ".join(what), fault.for_s)
+                self._inject_store_fault(" ".join(what), fault.for_s)
             case ["worker", *what]:
-                self._worker(" ".join(what), self._place(fault), fault.for_s)
+                self._inject_worker_fault(" ".join(what), self._worker_slot(fault), fault.for_s)
             case _:
-                self._connections(fault, self._proxy(fault), fault.kind)
+                self._inject_connection_fault(fault, self._proxy(fault), fault.kind)
 
     def _begin_series(self, fault, kind):
-        each = Fault(at=fault.at, for_s=fault.for_s, kind=kind, pick=fault.pick)
+        each = Fault(at=fault.at, for_s=fault.for_s, kind=kind, selector=fault.selector)
         at = 0.0
         for _ in range(SERIES_LENGTH):
-            self._later(at, self.inject, each)
+            self._schedule(at, self.inject, each)
             at += self.random_state.choice(SERIES_PAUSES_S)
 
     def _kill(self, name, down_s):
         self.instances.send(name, signal.SIGKILL)
-        self._later(down_s, self.instances.start, name)
+        self._schedule(down_s, self.instances.start, name)
 
     def _kill_many(self, fault, share):
         for name in self.instances.names:
             if self.random_state.random() < share:
                 self._kill(name, fault.for_s / 2)
 
-    def _store(self, what, for_s):
-        faults = self.world.store_faults
+    def _inject_store_fault(self, what, for_s):
+        faults = self.environment.store_faults
         if what != "forgets":
             self._disturb(self.instances.names, for_s)
         match what:
@@ -219,53 +222,53 @@
             case "late":
                 faults.late_s = 1.5
             case "forgets":
-                self.world.store.forget_history()
+                self.environment.store.forget_history()
                 return
-        self._later(for_s, faults.clear)
+        self._schedule(for_s, faults.clear)
 
-    def _worker(self, what, place, for_s):
+    def _inject_worker_fault(self, what, worker_slot, for_s):
         match what:
             case "silent":
-                place.faults.silent = True
-                self._later(for_s, place.faults.clear)
+                worker_slot.faults.silent = True
+                self._schedule(for_s, worker_slot.faults.clear)
             case "loses answers":
-                place.faults.loses_answers = True
-                self._later(min(for_s, 1.0), place.faults.clear)
+                worker_slot.faults.loses_answers = True
+                self._schedule(min(for_s, 1.0), worker_slot.faults.clear)
             case "late":
-                place.worker.n_late_starts = 2
+                worker_slot.worker.n_late_starts = 2
             case "crash":
-                self.world.crash(place)
-                self._later(for_s, self.world.new_life, place)
+                self.environment.crash(worker_slot)
+                self._schedule(for_s, self.environment.start_worker, worker_slot)
             case "drains":
-                self.world.drain(place)
-                self._later(for_s, self._leave, place)
+                self.environment.drain(worker_slot)
+                self._schedule(for_s, self._replace_drained_worker, worker_slot)
             case "resized":
-                if place.worker.alive:
-                    self.world.set_capacity(place, self.random_state.choice(CAPACITIES))
+                if worker_slot.worker.alive:
+                    self.environment.set_capacity(worker_slot, self.random_state.choice(CAPACITIES))
             case "unregistered":
-                worker_id = place.worker.worker_id
-                self.world.store.remove("servers", worker_id)
-                self._later(for_s, self._register, place, worker_id)
+                worker_id = worker_slot.worker.worker_id
+                self.environment.store.remove("servers", worker_id)
+                self._schedule(for_s, self._register, worker_slot, worker_id)
 
-    def _leave(self, place):
-        if place.worker.alive:
-            self.world.crash(place)
-            self.world.new_life(place)
+    def _replace_drained_worker(self, worker_slot):
+        if worker_slot.worker.alive:
+            self.environment.crash(worker_slot)
+            self.environment.start_worker(worker_slot)
 
-    def _register(self, place, worker_id):
-        worker = place.worker
+    def _register(self, worker_slot, worker_id):
+        worker = worker_slot.worker
         if worker.alive and worker.worker_id == worker_id:
-            self.world.store.put("servers", worker_id, worker.entry())
+            self.environment.store.put("servers", worker_id, worker.entry())
 
     def _silence_all(self, which):
-        """Let the open connections of all instances fall silent, as where a switch forgets them."""
+        """Drop all further data on open connections, as when a switch loses its connection state."""
         ends = {"stores": ("store",), "peers": ("peers",), "both": ("store", "peers")}[which]
         for name in self.instances.names:
             for end in ends:
-                self.world.proxies[f"{name} {end}"].silence()
+                self.environment.proxies[f"{name} {end}"].silence()
         self._disturb(self.instances.names)
 
-    def _connections(self, fault, proxy, what):
+    def _inject_connection_fault(self, fault, proxy, what):
         self._disturb_by(proxy, what, fault.for_s)
         match what:
             case "reset":
@@ -282,14 +285,15 @@
                 proxy.cut_to_target = proxy.cut_from_target = True
             case "delay":
                 proxy.delay_s = 0.2
-        self._later(fault.for_s, proxy.heal)
+        self._schedule(fault.for_s, proxy.heal)
 
     def _disturb_by(self, proxy, what, for_s):
-        """Note whom a fault of one proxy disturbs: all if connections fall silent, else its owner.
+        """Record which instances a fault of one proxy disturbs.
 
-        Connections to workers and to the advice do not bring the configuration.
+        Silenced connections disturb all instances, other faults only the instance of the proxy.
+        Connections to workers and to the advice service do not transfer the configuration.
         """
-        key = next(key for key, each in self.world.proxies.items() if each is proxy)
+        key = next(key for key, each in self.environment.proxies.items() if each is proxy)
         name, _, end = key.partition(" ")
         if end not in ("store", "peers"):
             return
--- a/soak/_instances.py
+++ b/soak/_instances.py
@@ -1,4 +1,4 @@
-"""The instances: real processes, started and ended by their ids."""
+"""The instances of a cell as separate processes, started and signalled by their process ids."""
 
 import os
 import signal
@@ -9,41 +9,41 @@
 
 from anvilflow.utils import encode
 
-#: Time that a process has for its end after SIGTERM. Unit: seconds.
+#: Grace period of a process after SIGTERM. Unit: seconds.
 GRACE_S = 6.0
 
 _LAUNCHER = Path(__file__).with_name("_launch.py").resolve()
 
 
 class Instances:
-    """Processes of a cell.
+    """Starts, signals and ends the processes of a cell.
 
     Parameters
     ----------
     world : World
     folder : Path
-        Where settings and logs are kept.
+        Folder of the settings and logs.
     n_instances : int
     free_address : callable
-        Returns an address that nobody uses.
+        Returns an address that is not in use.
     calm : Calm, default=None
-        Hears of each start and signal but SIGHUP, which disturbs nothing.
+        Records each start and each signal except SIGHUP, which does not disturb an instance.
     """
 
-    def __init__(self, *, world, folder, n_instances, free_address, calm=None):
-        self.world = world
-        self.calm = calm
+    def __init__(self, *, environment, folder, n_instances, free_address, disturbances=None):
+        self.environment = environment
+        self.disturbances = disturbances
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
         self.names = [f"a{number}" for number in range(n_instances)]
         self.fronts = {}
         self._running = {}
         self._stopped = set()
-        self.leaving = set()
+        self.terminating = set()
         self._without_power = set()
         self._logs = {}
         self._stack = ExitStack()
-        # First all proxies, which might be given the ports of an instance that does not run yet.
+        # Proxies come first: later they might get the port of an instance that is not yet running.
         for name in self.names:
             self._make_proxies(name)
         addresses = _draw_addresses(free_address, n_addresses=3 * n_instances)
@@ -51,14 +51,14 @@
             self._write_settings(name, addresses)
 
     def _make_proxies(self, name):
-        world = self.world
-        targets = {"store": world.store_target, "advice": world.advice_target}
+        environment = self.environment
+        targets = {"store": environment.store_target, "advice": environment.advice_target}
         for end in ("front", "peers", "store", "advice"):
-            world.make_proxy(f"{name} {end}", targets.get(end))
+            environment.make_proxy(f"{name} {end}", targets.get(end))
 
     def _write_settings(self, name, addresses):
         front, ready, peers = (addresses.pop() for _ in range(3))
-        proxies = self.world.proxies
+        proxies = self.environment.proxies
         proxies[f"{name} front"].target = _target(front)
         proxies[f"{name} peers"].target = _target(peers)
         self.fronts[name] = proxies[f"{name} front"].address
@@ -74,18 +74,19 @@
 
     @property
     def running(self):
-        """Names of the instances that have a process which is not stopped."""
+        """Names of the instances whose process is not suspended."""
         return [name for name in self._running if name not in self._stopped]
 
     def start(self, name):
-        """Start an instance unless it runs or its machine has no power."""
+        """Start an instance unless it is running or its machine has no power."""
         if self.is_running(name) or name in self._without_power:
             return
         log = self._logs.get(name)
         if log is None:
             log = self._stack.enter_context((self.folder / f"{name}.log").open("ab"))
             self._logs[name] = log
-        # A file, not a module of this package, which would import what takes the time first.
+        # The launcher runs as a file: as a module of this package, it would first import code that uses
+        # the time of day.
         env = {
             **os.environ,
             "ANVILFLOW_CONFIG": str(self.folder / f"{name}.json"),
@@ -94,63 +95,63 @@
         self._running[name] = subprocess.Popen(
             [sys.executable, str(_LAUNCHER)], stdout=log, stderr=log, env=env
         )
-        if self.calm is not None:
-            self.calm.start(name)
+        if self.disturbances is not None:
+            self.disturbances.start(name)
 
     def is_running(self, name):
-        """Whether the instance has a process, stopped or not."""
+        """Return whether the instance has a process, suspended or not."""
         process = self._running.get(name)
         if process is not None and process.poll() is not None:
             del self._running[name]
             self._stopped.discard(name)
-            self.leaving.discard(name)
+            self.terminating.discard(name)
             process = None
         return process is not None
 
     def process_of(self, name):
-        """Return the id of the instance's process; None when there is none, or it is stopped."""
+        """Return the id of the instance's process; None if there is none or it is suspended."""
         if not self.is_running(name) or name in self._stopped:
             return None
         return self._running[name].pid
 
     def send(self, name, number):
-        """Send a signal to an instance's process."""
+        """Send signal `number` to an instance's process."""
         if not self.is_running(name):
             return
         self._running[name].send_signal(number)
-        if number != signal.SIGHUP and self.calm is not None:
-            self.calm.disturb([name])
+        if number != signal.SIGHUP and self.disturbances is not None:
+            self.disturbances.add_disturbance([name])
         match number:
             case signal.SIGSTOP:
                 self._stopped.add(name)
             case signal.SIGCONT:
                 self._stopped.discard(name)
             case signal.SIGTERM:
-                self.leaving.add(name)
+                self.terminating.add(name)
 
     def lose_power(self):
-        """Let all instances vanish: nobody hears a connection end, or is answered on a new one."""
-        for proxy in self.world.proxies.values():
+        """Kill all instances so that peers see neither a closed connection nor an answer on a new one."""
+        for proxy in self.environment.proxies.values():
             proxy.silence()
         for name in self.names:
             self._set_power(name, False)
             self.send(name, signal.SIGKILL)
 
     def power_on(self, name):
-        """Start an instance again whose machine had no power."""
+        """Restart an instance whose machine had no power."""
         self._set_power(name, True)
         self.start(name)
 
     def _set_power(self, name, is_on):
         for end in ("front", "peers"):
-            self.world.proxies[f"{name} {end}"].is_dark = not is_on
+            self.environment.proxies[f"{name} {end}"].is_powered_off = not is_on
         if is_on:
             self._without_power.discard(name)
         else:
             self._without_power.add(name)
 
     def close(self):
-        """Kill what still runs."""
+        """Kill all running processes and close the logs."""
         for process in self._running.values():
             process.kill()
             process.wait()
@@ -158,7 +159,7 @@
 
 
 def _draw_addresses(free_address, *, n_addresses):
-    """Return different addresses; one that was drawn is free, and may be drawn again."""
+    """Return distinct addresses; a drawn address is still free and may be drawn again."""
     addresses = set()
     while len(addresses) < n_addresses:
         addresses.add(free_address())
--- a/soak/_launch.py
+++ b/soak/_launch.py
@@ -1,7 +1,7 @@
-"""Runs an instance whose time of day can be set: ahead by SIGUSR1, back by SIGUSR2.
+"""Launcher of an instance whose time of day is set ahead by SIGUSR1 and back by SIGUSR2.
 
-The machine's clock is left alone. The function that tells the time of day is replaced before
-anything of the instance is imported, so that whoever takes it for a clock sees the steps.
+The machine's clock is not changed. ``time.time`` is replaced before any module of the instance is
+imported, so that code that uses the time of day as a clock is affected by the steps.
 """
 
 import signal
@@ -12,8 +12,8 @@
 STEP_S = 5.0
 
 
-def shake_time_of_day():
-    """Replace ``time.time`` by one that signals set ahead and back."""
+def install_adjustable_clock():
+    """Replace ``time.time`` by a function that signals set ahead and back by `STEP_S`."""
     true_time = time.time
     offset = 0.0
 
@@ -27,7 +27,7 @@
 
 
 if __name__ == "__main__":
-    shake_time_of_day()
+    install_adjustable_clock()
     from anvilflow.cell.__main__ import main
 
     sys.exit(main())
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -1,30 +1,31 @@
-"""A loopback proxy whose connections can be delayed, reset, cut one way or silenced."""
+"""Loopback proxy that injects faults: delays, resets, one-way partitions and silent connections."""
 
 from twisted.internet.endpoints import TCP4ClientEndpoint, connectProtocol
 from twisted.internet.protocol import Factory, Protocol
 
-from ._line import Line
+from ._shared_link import SharedLink
 
-#: Time within which the target takes a connection. Unit: seconds.
+#: Timeout of a connection to the target. Unit: seconds.
 CONNECT_S = 1.0
 
 
 class Proxy:
-    """Passes connections on to one target.
+    """Forwards connections to one target.
 
     Parameters
     ----------
     reactor : IReactorTCP
     host : str
-        Loopback address to listen at.
+        Loopback address to listen on.
     target : (str, int)
 
     Notes
     -----
-    `delay_s` holds every piece back. `cut_to_target` and `cut_from_target` keep one direction back
-    until :meth:`heal`, and `refuses` resets new connections. :meth:`silence` lets those that are
-    open now say nothing for good, while new ones work; but not while `is_dark`, when the target has
-    no power: new ones are never answered. `refused_at` is when the target last refused one.
+    `delay_s` delays all data. `cut_to_target` and `cut_from_target` hold the data of one direction
+    back until :meth:`heal`, and `refuses` resets new connections. :meth:`silence` drops all further
+    data of the connections that are open, while new ones work. While `is_powered_off`, the target
+    has no power, and new connections are accepted but never answered. `refused_at` is the time at
+    which the target last refused a connection.
     """
 
     def __init__(self, *, reactor, host, target):
@@ -32,19 +33,22 @@
         self.host = host
         self.target = target
         self.pairs = []
-        self.is_dark = False
+        self.is_powered_off = False
         self.refused_at = float("-inf")
-        self.lines = {True: Line(reactor=reactor), False: Line(reactor=reactor)}
+        self.link_by_direction = {
+            True: SharedLink(reactor=reactor),
+            False: SharedLink(reactor=reactor),
+        }
         self.port = reactor.listenTCP(0, _make_factory(self), interface=host, backlog=256)
         self.heal()
 
     @property
     def address(self):
-        """Where the proxy listens."""
+        """Address on which the proxy listens."""
         return f"{self.host}:{self.port.getHost().port}"
 
     def heal(self):
-        """End all faults but those of connections that were silenced."""
+        """End all faults except those of silenced connections."""
         self.delay_s = 0.0
         self.cut_to_target = False
         self.cut_from_target = False
@@ -52,39 +56,39 @@
         for pair in self.pairs:
             pair.flush()
 
-    def limit(self, bytes_s):
-        """Let so many bytes a second pass each way; None: all at once."""
-        for line in self.lines.values():
-            line.bytes_s = bytes_s
+    def limit(self, bytes_per_s):
+        """Limit the rate of each direction; None removes the limit."""
+        for link in self.link_by_direction.values():
+            link.bytes_per_s = bytes_per_s
 
     def silence(self):
-        """Let all open connections fall silent for good."""
+        """Drop all further data of the open connections, without closing them."""
         for pair in self.pairs:
             pair.silent = True
 
     def reset(self, random_state, share):
-        """Reset a share of the open connections."""
+        """Reset each open connection with probability `share`."""
         for pair in list(self.pairs):
             if random_state.random() < share:
                 pair.abort()
 
     def close(self):
-        """Close everything."""
+        """Stop listening and abort all connections."""
         self.port.stopListening()
         for pair in list(self.pairs):
             pair.abort()
 
 
 class _Pair:
-    """Two connections, one to each end, and what waits between them."""
+    """The two legs of a proxied connection, to the client and to the target, with pending data."""
 
     def __init__(self, *, proxy, client):
         self.proxy = proxy
         self.client = client
         self.server = None
         self.silent = False
-        self._held = {True: [], False: []}
-        self._free_at = {True: 0.0, False: 0.0}
+        self._pending_data = {True: [], False: []}
+        self._next_send_at = {True: 0.0, False: 0.0}
 
     def connect(self):
         host, port = self.proxy.target
@@ -97,9 +101,9 @@
         self.proxy.refused_at = self.proxy.reactor.seconds()
         self.abort()
 
-    def carry(self, data, to_target):
+    def forward(self, data, to_target):
         if not self.silent:
-            self._held[to_target].append(data)
+            self._pending_data[to_target].append(data)
             self.flush()
 
     def flush(self):
@@ -110,23 +114,23 @@
             leg = self.server if to_target else self.client
             if cut or leg is None or leg.transport is None or not leg.transport.connected:
                 continue
-            held, self._held[to_target] = self._held[to_target], []
-            for data in held:
+            pending, self._pending_data[to_target] = self._pending_data[to_target], []
+            for data in pending:
                 self._send(leg, data, to_target)
 
     def _send(self, leg, data, to_target):
         now = self.proxy.reactor.seconds()
-        # Never before an earlier piece, also when the delay has become shorter.
-        at = max(now + self.proxy.delay_s, self._free_at[to_target])
-        self._free_at[to_target] = at
-        line = self.proxy.lines[to_target]
+        # Data stays in order even if the delay has become shorter.
+        at = max(now + self.proxy.delay_s, self._next_send_at[to_target])
+        self._next_send_at[to_target] = at
+        link = self.proxy.link_by_direction[to_target]
         if at <= now:
-            line.send(leg, data)
+            link.send(leg, data)
         else:
-            self.proxy.reactor.callLater(at - now, line.send, leg, data)
+            self.proxy.reactor.callLater(at - now, link.send, leg, data)
 
     def lost(self):
-        """One end has closed: close the other, unless nobody may hear of it."""
+        """Handle the close of one leg: abort the other unless the pair is silenced."""
         if self in self.proxy.pairs:
             self.proxy.pairs.remove(self)
         if not self.silent:
@@ -149,7 +153,7 @@
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data):
-        self.pair.carry(data, self.to_target)
+        self.pair.forward(data, self.to_target)
 
     def connectionLost(self, reason):
         self.pair.lost()
@@ -162,7 +166,7 @@
             self.transport.abortConnection()
             return
         self.pair.proxy.pairs.append(self.pair)
-        if self.pair.proxy.is_dark:
+        if self.pair.proxy.is_powered_off:
             self.pair.silent = True
         else:
             self.pair.connect()
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -1,4 +1,4 @@
-"""One soak: a cell of processes, callers, faults, a verdict."""
+"""Run of one soak: a cell of processes, callers, faults and the check of the invariants."""
 
 import os
 import socket
@@ -12,28 +12,28 @@
 from anvilflow.utils import encode
 
 from ._callers import Callers
-from ._calm import Calm
 from ._config_watch import ConfigWatch
-from ._ending import Ending, LastFaults, make_ending
-from ._faults import CAPACITY_KINDS, CONFIG_KINDS, LATER_KINDS, SERIES_KINDS, Injector, make_faults
+from ._disturbances import DisturbanceTracker
+from ._environment import Environment
+from ._faults import CAPACITY_KINDS, CLOCK_KINDS, CONFIG_KINDS, SERIES_KINDS, Injector, make_faults
+from ._final_phase import FinalPhase, FinalPhaseRunner, make_final_phase
 from ._instances import Instances
-from ._judge import CANCEL_S, Judge
-from ._world import World
+from ._invariants import CANCEL_GRACE_S, InvariantChecker
 
-#: Time for the processes to start and find their leader, and for each of them: they share the
-#: machine's processors. Unit: seconds.
+#: Time for all processes to start and to find their leader, and additional time for each process,
+#: because they share the machine's processors. Unit: seconds.
 START_S = 3.0
-START_EACH_S = 0.2
+START_PER_INSTANCE_S = 0.2
 
-#: Longest time from the end of the last fault to the end of the last job. Unit: seconds.
+#: Maximum time from the end of the last fault to the end of the last job. Unit: seconds.
 SETTLE_S = 45.0
 
-#: Callers begin this often. Unit: seconds.
-CALL_EVERY_S = 0.15
+#: Interval at which new callers start. Unit: seconds.
+CALL_INTERVAL_S = 0.15
 
 
 class Verdict(Struct, kw_only=True):
-    """What came out of a soak."""
+    """Result of a soak."""
 
     seed: int
     n_jobs: int
@@ -43,12 +43,12 @@
     n_configs: int
     n_config_checked: int
     faults: list[str]
-    ending: Ending
+    ending: FinalPhase
     broken: list[str]
 
 
 class SoakRun:
-    """A soak of one seed.
+    """Runs the soak of one seed.
 
     Parameters
     ----------
@@ -56,14 +56,14 @@
     seed : int
     folder : Path
     seconds : float
-        For how long faults begin. Unit: seconds.
+        Time within which the faults begin. Unit: seconds.
     n_faults, n_instances, n_workers : int
     grows : bool, default=None
-        Whether the configuration grows at the end; by default, as the seed says.
+        Whether the configuration grows at the end; by default, drawn from the seed.
     only_config : bool, default=False
-        Whether only faults are drawn that leave most instances calm.
+        Whether the faults are limited to those that leave most instances undisturbed.
     n_series : int, default=0
-        Faults that come several times, close together, besides.
+        Number of additional faults that are repeated in quick succession.
     """
 
     def __init__(
@@ -96,39 +96,41 @@
 
     @inlineCallbacks
     def run(self):
-        """Play the soak; return its :class:`Verdict`."""
+        """Run the soak; return its :class:`Verdict`."""
         rng = Random(self.seed)
         host = loopback_host()
-        world = World(reactor=self.reactor, host=host, n_workers=self.n_workers)
-        calm = Calm(reactor=self.reactor)
+        environment = Environment(reactor=self.reactor, host=host, n_workers=self.n_workers)
+        disturbances = DisturbanceTracker(reactor=self.reactor)
         instances = Instances(
-            world=world,
+            environment=environment,
             folder=self.folder,
             n_instances=self.n_instances,
             free_address=lambda: _free_address(host),
-            calm=calm,
+            disturbances=disturbances,
         )
-        faults, later = self._draw_faults(rng)
-        ending = make_ending(later, n_instances=self.n_instances)
+        faults, later_random_state = self._draw_faults(rng)
+        ending = make_final_phase(later_random_state, n_instances=self.n_instances)
         if self.grows is not None:
             ending.grows = self.grows
         try:
-            verdict = yield self._play(rng, world, instances, calm, faults, ending)
+            verdict = yield self._play(rng, environment, instances, disturbances, faults, ending)
         finally:
             instances.close()
-            world.close()
+            environment.close()
         return verdict
 
     def _draw_faults(self, rng):
-        """Return the faults and the generator of what is drawn later.
+        """Return the faults, and the generator from which the final phase is drawn.
 
-        Each group has a generator of its own, so that a group that is added leaves the faults of
-        seeds that failed once as they were.
+        Each group of faults has a generator of its own, so that a new group does not change the
+        faults of seeds that failed before.
         """
         n_faults, seconds = self.n_faults, self.seconds
         faults = make_faults(rng, n_faults=n_faults, seconds=seconds)
-        later = Random(f"{self.seed} later")
-        faults += make_faults(later, n_faults=n_faults // 5, seconds=seconds, weights=LATER_KINDS)
+        later_random_state = Random(f"{self.seed} later")
+        faults += make_faults(
+            later_random_state, n_faults=n_faults // 5, seconds=seconds, weights=CLOCK_KINDS
+        )
         config = make_faults(
             Random(f"{self.seed} config"),
             n_faults=n_faults // 2,
@@ -148,63 +150,67 @@
             weights=CAPACITY_KINDS,
         )
         faults = config if self.only_config else faults + config
-        return faults + series + capacity, later
+        return faults + series + capacity, later_random_state
 
     @inlineCallbacks
-    def _play(self, rng, world, instances, calm, faults, ending):
+    def _play(self, rng, environment, instances, disturbances, faults, ending):
         for name in instances.names:
             instances.start(name)
-        yield self._sleep(START_S + START_EACH_S * len(instances.names))
-        judge = Judge(world=world)
+        yield self._sleep(START_S + START_PER_INSTANCE_S * len(instances.names))
+        checker = InvariantChecker(environment=environment)
         callers = Callers(
             reactor=self.reactor,
             fronts=instances.fronts,
             random_state=rng,
-            judge=judge,
+            checker=checker,
             crash_random_state=Random(f"{self.seed} crashes"),
         )
         injector = Injector(
-            reactor=self.reactor, world=world, instances=instances, random_state=rng, calm=calm
+            reactor=self.reactor,
+            environment=environment,
+            instances=instances,
+            random_state=rng,
+            disturbances=disturbances,
         )
-        injector.plan(faults)
+        injector.schedule_faults(faults)
         watch = ConfigWatch(
             reactor=self.reactor,
-            world=world,
+            environment=environment,
             instances=instances,
             callers=callers,
-            judge=judge,
-            calm=calm,
+            checker=checker,
+            disturbances=disturbances,
             random_state=Random(f"{self.seed} watch"),
         )
         watching = watch.start()
         calls = []
-        last = LastFaults(
+        final_phase = FinalPhaseRunner(
             reactor=self.reactor,
-            world=world,
+            environment=environment,
             instances=instances,
             callers=callers,
-            judge=judge,
+            checker=checker,
             random_state=Random(f"{self.seed} end"),
             watch=watch,
         )
         calling = self._keep_calling(callers, calls)
         yield self._sleep(self.seconds + 2.0)
-        yield last.play(ending)
+        yield final_phase.play(ending)
         calling.stop()
-        yield self._settle(world, instances, callers, judge)
+        yield self._settle(environment, instances, callers, checker)
         watch.stop()
         yield gatherResults(watching)
-        yield last.check_config()
-        yield callers.look_again()
-        broken = judge.finish(callers.calls)
+        yield final_phase.check_config()
+        yield callers.recheck_end_states()
+        broken = checker.finish(callers.calls)
         yield gatherResults(calls, consumeErrors=True)
         return Verdict(
             seed=self.seed,
             n_jobs=len(callers.calls),
             n_accepted=sum(call.accepted_at is not None for call in callers.calls),
-            n_runs=len(world.spans),
-            n_checked=judge.n_checked,
-            n_configs=world.config_version - 1,
+            n_runs=len(environment.spans),
+            n_checked=checker.n_checked,
+            n_configs=environment.config_version - 1,
             n_config_checked=watch.n_checked,
             faults=[f"{fault.at:.1f} {fault.kind} {fault.for_s}" for fault in faults],
             ending=ending,
@@ -212,35 +218,35 @@
         )
 
     def _keep_calling(self, callers, calls):
-        """Begin a call again and again, until the loop returned is stopped."""
-        loop = LoopingCall(lambda: calls.append(callers.run_one()))
+        """Start callers at regular intervals until the returned loop is stopped."""
+        loop = LoopingCall(lambda: calls.append(callers.run_job()))
         loop.clock = self.reactor
-        loop.start(CALL_EVERY_S)
+        loop.start(CALL_INTERVAL_S)
         return loop
 
     @inlineCallbacks
-    def _settle(self, world, instances, callers, judge):
-        """End all faults, start what is down, and wait for the last job."""
-        world.heal()
-        judge.calm_at = self.reactor.seconds()
+    def _settle(self, environment, instances, callers, checker):
+        """End all faults, start the instances that are down, and wait for the last job to end."""
+        environment.heal()
+        checker.faults_ended_at = self.reactor.seconds()
         until = self.reactor.seconds() + SETTLE_S
         while self.reactor.seconds() < until:
             for name in instances.names:
                 instances.start(name)
             yield self._sleep(0.5)
             submitting = any(call.accepted_at is None and not call.shown for call in callers.calls)
-            if not judge.unfinished(callers.calls) and not (
+            if not checker.unfinished(callers.calls) and not (
                 submitting and until - self.reactor.seconds() > SETTLE_S / 2
             ):
                 break
-        yield self._sleep(CANCEL_S)
+        yield self._sleep(CANCEL_GRACE_S)
 
 
 def loopback_host():
-    """Return a loopback address of this process alone.
+    """Return a loopback address that only this process uses.
 
-    A killed instance's port may be given to somebody else before it is back. On an address that
-    only this soak listens at, no other soak's answers are taken for the instance's.
+    The port of a killed instance may be given to another process before the instance is restarted.
+    With an address per soak, answers of another soak are not mistaken for those of the instance.
     """
     pid = os.getpid()
     return f"127.{64 + (pid >> 16) % 64}.{(pid >> 8) % 256}.{1 + pid % 254}"
@@ -253,7 +259,7 @@
 
 
 def run_seed(seed, folder, **values):
-    """Play one seed on the reactor of this process; return its :class:`Verdict`."""
+    """Run one seed on the reactor of this process; return its :class:`Verdict`."""
     from twisted.internet import reactor
 
     results = []
--- a/soak/tests/test_clock_steps.py
+++ b/soak/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the time of day: an instance's timers and leases do not see them."""
+"""Steps of the time of day must not affect an instance's timers and leases."""
 
 import json
 import subprocess
@@ -6,9 +6,9 @@
 
 import pytest
 
-#: Steps of the time of day at a running instance, and what its clock made of them. The function is
-#: replaced before anything else is imported: whoever takes it as a clock sees the step as it would
-#: see one of the machine's clock.
+#: Steps the time of day of a running instance and prints by how much its clock moved. ``time.time``
+#: is replaced before any other import, so that code that uses it as a clock is affected as by a step
+#: of the machine's clock.
 _SCRIPT = """
 import sys, time
 true_time, step = time.time, [0.0]
@@ -31,11 +31,11 @@
 
 @pytest.mark.parametrize("step_s", [-60.0, 60.0])
 def test_step_of_the_time_of_day_does_not_move_timers(step_s, tmp_path):
-    """Callers hear nothing for a minute, or a task runs twice, after the time of day was set.
+    """Callers get no answer for a minute, or a task runs twice, after a step of the time of day.
 
-    Set back, all timers of the instance stand still for the size of the step: no holds, no plans,
-    no answers from time limits. Set ahead, leases that still run seem to have ended, and a leader
-    starts what they guard elsewhere. The reactor's own clock is the time of day.
+    After a step back, all timers of the instance stop for the size of the step: no lease renewals,
+    no scheduling, no time-outs. After a step ahead, valid leases seem to have expired, and the
+    leader starts their tasks elsewhere. By default, the reactor's clock is the time of day.
     """
     addresses = {name: "127.0.0.1:0" for name in ("front", "ready", "peers")}
     settings = {
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded soak; longer ones are played by hand."""
+"""Short seeded soaks, and tests of their tools. Longer soaks are started by hand."""
 
 import subprocess
 import sys
@@ -7,14 +7,14 @@
 import pytest
 from twisted.internet.task import Clock
 
-from soak._calm import CONTACT_S, Calm
-from soak._config_watch import Question, _is_right
+from soak._config_watch import ConfigQuery, _is_allowed_answer
+from soak._disturbances import UNDISTURBED_S, DisturbanceTracker
 from soak._faults import KINDS, make_faults
-from soak._line import Line
+from soak._shared_link import SharedLink
 
 
-def test_faults_of_a_seed_are_always_the_same():
-    """A seed that failed once must fail again for the same reason."""
+def test_same_seed_gives_same_faults():
+    """A failed seed must be reproducible: it gives the same faults in every run."""
     first, again = (make_faults(Random(7), n_faults=50, seconds=10.0) for _ in range(2))
     assert first == again
     assert [fault.at for fault in first] == sorted(fault.at for fault in first)
@@ -22,61 +22,61 @@
 
 
 @pytest.mark.parametrize("seed", [3])
-def test_short_soak_breaks_no_promise(seed, tmp_path):
-    """Three processes, four workers, six faults within six seconds, then no power for a moment."""
+def test_short_soak_violates_no_invariant(seed, tmp_path):
+    """Three processes and four workers, random faults within six seconds, then a loss of power."""
     _play(seed, tmp_path, grows=False, **_SHORT)
 
 
 def test_short_soak_with_a_growing_configuration_breaks_no_promise(tmp_path):
-    """An instance goes on without routes that were acknowledged, or has none after a restart.
+    """An instance lacks acknowledged routes, or has none after a restart.
 
-    The configuration grows by 350 KB three times, and a link takes 0.75 s for each of them. A call
-    that is given up before its answer is there never gets it.
+    The configuration grows by 350 KB three times, and a link takes 0.75 s for each growth. If each
+    call times out before its answer has been transferred, the instance never gets the answer.
     """
     _play(4, tmp_path, grows=True, **_SHORT)
 
 
 @pytest.mark.parametrize("seed", [3, 4])
 def test_soak_that_watches_the_configuration_breaks_no_promise(seed, tmp_path):
-    """A queue that was added is refused by several instances at once, long after its change.
+    """Several instances refuse an added queue long after the change.
 
-    In the third seed the leader is killed after a change: all others answer 503. In the fourth all
-    connections to the store fall silent, and a change that comes 1.9 s later is not in force 2.0 s
-    after it: 404 for the queue that was added, 200 for the one that was dropped.
+    With seed 3, the leader is killed after a change, and all other instances answer 503. With seed
+    4, all connections to the store become silent, and a change 1.9 s later is not in force 2.0 s
+    after it: 404 for the added queue, 200 for the removed one.
     """
     _play(seed, tmp_path, seconds=14.0, n_faults=12, n_instances=5, only_config=True)
 
 
-def test_bounds_hold_for_calm_instances_only():
-    """Counted from the end of the last disturbance, of this instance alone."""
+def test_bounds_apply_only_to_undisturbed_instances():
+    """The time is counted from the end of the last disturbance of the same instance."""
     clock = Clock()
-    calm = Calm(reactor=clock)
+    disturbances = DisturbanceTracker(reactor=clock)
     clock.advance(10.0)
-    calm.disturb(["a0"], 2.0)
-    calm.disturb(["a0"])
-    assert calm.holds("a1", 10.0)
-    assert not calm.holds("a0", 11.9 + CONTACT_S)
-    assert calm.holds("a0", 12.0 + CONTACT_S)
+    disturbances.add_disturbance(["a0"], 2.0)
+    disturbances.add_disturbance(["a0"])
+    assert disturbances.is_undisturbed("a1", 10.0)
+    assert not disturbances.is_undisturbed("a0", 11.9 + UNDISTURBED_S)
+    assert disturbances.is_undisturbed("a0", 12.0 + UNDISTURBED_S)
 
 
 @pytest.mark.parametrize("answers", [True, False])
-def test_start_lasts_until_the_process_answers_or_for_too_long(answers):
-    """Beside other soaks a process takes seconds to begin; one that never does is a finding."""
+def test_start_is_a_disturbance_until_first_answer_or_timeout(answers):
+    """A process takes seconds to start beside other soaks, but no answer at all must be reported."""
     clock = Clock()
-    calm = Calm(reactor=clock)
-    calm.start("a0")
+    disturbances = DisturbanceTracker(reactor=clock)
+    disturbances.start("a0")
     clock.advance(5.0)
     if answers:
-        calm.answered("a0")
-    assert not calm.holds("a0", 5.0)
+        disturbances.first_answer("a0")
+    assert not disturbances.is_undisturbed("a0", 5.0)
     clock.advance(4.0)
-    assert calm.holds("a0", 9.0) is answers
+    assert disturbances.is_undisturbed("a0", 9.0) is answers
     clock.advance(2.0)
-    assert calm.holds("a0", 11.0)
+    assert disturbances.is_undisturbed("a0", 11.0)
 
 
 @pytest.mark.parametrize(
-    ("path", "asked", "status", "is_right"),
+    ("path", "path_version", "status", "is_allowed"),
     [
         ("/v5/", 5, 200, True),
         ("/v5/", 5, 404, False),
@@ -89,30 +89,32 @@
         ("/v5/0000000000000000", 5, 404, False),
     ],
 )
-def test_answers_that_the_newest_version_allows(path, asked, status, is_right):
-    """The queue of the newest version is served, the one before it is not."""
-    question = Question(name="a0", process=1, path=path, version=5, asked=asked, at=0.0)
-    assert _is_right(question, status) is is_right
+def test_answers_that_the_newest_version_allows(path, path_version, status, is_allowed):
+    """The queue of the newest version must be served, that of the version before must not."""
+    config_query = ConfigQuery(
+        name="a0", process=1, path=path, version=5, path_version=path_version, at=0.0
+    )
+    assert _is_allowed_answer(config_query, status) is is_allowed
 
 
-@pytest.mark.parametrize("bytes_s", [None, 100_000])
-def test_line_shares_its_rate(bytes_s):
-    """A short answer does not wait behind a long one, and a gone end takes no time."""
+@pytest.mark.parametrize("bytes_per_s", [None, 100_000])
+def test_connections_share_the_rate_of_a_link(bytes_per_s):
+    """A short answer must not wait for a long one, and a closed connection takes no time."""
     clock = Clock()
-    line = Line(reactor=clock)
-    line.bytes_s = bytes_s
+    link = SharedLink(reactor=clock)
+    link.bytes_per_s = bytes_per_s
     legs = [_Leg(is_open) for is_open in (True, True, False)]
     for leg, n_bytes in zip(legs, (100_000, 100, 100_000), strict=True):
-        line.send(leg, b"x" * n_bytes)
+        link.send(leg, b"x" * n_bytes)
     clock.pump([0.01] * 25)
     assert legs[1].n_bytes == 100
-    assert (legs[0].n_bytes < 50_000) is (bytes_s is not None)
+    assert (legs[0].n_bytes < 50_000) is (bytes_per_s is not None)
     clock.pump([0.01] * 100)
     assert [leg.n_bytes for leg in legs] == [100_000, 100, 0]
 
 
 class _Leg:
-    """One end of a connection, as a line uses it."""
+    """One end of a connection, with the attributes that a link uses."""
 
     silent = False
 
@@ -129,7 +131,7 @@
 
 
 def _play(seed, folder, **values):
-    # In a process of its own: a soak needs the reactor for itself.
+    # Runs in a separate process, because a soak needs a reactor of its own.
     least = 1 if values.get("only_config") else 0
     script = (
         "import sys; from soak import run_seed; "
