--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -48,7 +48,7 @@
 
 
 def many(first=None, seeds=8, jobs=4, config=False, instances=5, series=0):
-    """Run several seeds in parallel, from a random one without `first`; keep logs of failed ones."""
+    """Run several seeds in parallel, by default from a random one; keep logs of failed ones."""
     first = random.SystemRandom().randrange(10**6) if first is None else first
     with ThreadPoolExecutor(max_workers=jobs) as pool:
         options = [f"--config={config}", f"--instances={instances}", f"--series={series}"]
--- a/soak/_callers.py
+++ b/soak/_callers.py
@@ -58,7 +58,7 @@
     fronts : dict of str to str
         Address at which each instance accepts callers' connections.
     random_state : random.Random
-    judge : Judge
+    checker : InvariantChecker
     crash_random_state : random.Random
         Draws which jobs crash their workers, and after which delay.
 
@@ -109,7 +109,7 @@
 
     @inlineCallbacks
     def run_job(self):
-        """Submit one job and poll it until it has ended or the soak is over; cancel about one in six."""
+        """Submit one job and poll it to its end or that of the soak; cancel about one in six."""
         call = self.make_call()
         self.calls.append(call)
         cancels = self.random_state.random() < 0.16
@@ -131,7 +131,7 @@
     def _submit(self, call, body):
         until = self._now() + SUBMIT_TIMEOUT_S
         while self._now() < until:
-            status, _ = yield self._ask(b"POST", call.path, body)
+            status, _ = yield self._send_to_random_instance(b"POST", call.path, body)
             if status == 200:
                 call.accepted_at = self._now()
                 self.acknowledged("accepted")
@@ -144,7 +144,7 @@
         # Set before the request is sent: a cancellation without an answer may take effect.
         call.cancelled = True
         while not self.checker.is_over:
-            status, _ = yield self._ask(b"DELETE", call.path)
+            status, _ = yield self._send_to_random_instance(b"DELETE", call.path)
             if status in (200, 410):
                 call.cancelled_at = self._now()
                 self.acknowledged("cancelled")
@@ -153,7 +153,7 @@
 
     @inlineCallbacks
     def _poll(self, call):
-        status, value = yield self._ask(b"GET", call.path)
+        status, value = yield self._send_to_random_instance(b"GET", call.path)
         if status == 200:
             before, call.shown = call.shown, value["state"]
             self.checker.state_shown(call, before)
@@ -164,18 +164,18 @@
 
     @inlineCallbacks
     def recheck_end_states(self):
-        """Poll every job once more that was shown in a final state: the state must not have changed."""
+        """Poll every job shown in a final state once more: the state must not have changed."""
         for call in self.calls:
             if call.shown in END_STATES:
                 yield self._poll(call)
 
-    def _ask(self, method, path, body=b""):
+    def _send_to_random_instance(self, method, path, body=b""):
         name = self.random_state.choice(sorted(self.fronts))
-        return self.ask(name, method, path, body)
+        return self.send_request(name, method, path, body)
 
     @inlineCallbacks
-    def ask(self, name, method, path, body=b""):
-        """Call an instance; return the status and the decoded body, or (None, None) without an answer."""
+    def send_request(self, name, method, path, body=b""):
+        """Call an instance; return status and decoded body, or (None, None) without an answer."""
         front = self.fronts[name]
         url = f"http://{front}{path}"
         try:
--- a/soak/_config_watch.py
+++ b/soak/_config_watch.py
@@ -15,8 +15,8 @@
 #: Unit: seconds.
 REGRESSION_GRACE_S = 0.25
 
-#: Interval at which the lag of this process's timers is checked, and the lag above which the machine
-#: counts as overloaded, so that the instances lag, too. Unit: seconds.
+#: Interval at which the lag of this process's timers is checked, and the lag above which the
+#: machine counts as overloaded, so that the instances lag, too. Unit: seconds.
 LAG_CHECK_INTERVAL_S = 0.1
 MAX_LAG_S = 0.2
 
@@ -25,7 +25,8 @@
 MIN_QUERY_PAUSE_S = 0.1
 QUERY_PAUSE_PER_INSTANCE_S = 0.015
 
-#: Pauses between two changes. Only a version that is not replaced for 2 s is checked. Unit: seconds.
+#: Pauses between two changes. Only a version that is in place for over 2 s is checked.
+#: Unit: seconds.
 CHANGE_PAUSES_S = (0.2, 0.6, 2.5, 3.0, 3.5, 5.0)
 
 #: Id of a job that was never submitted.
@@ -57,11 +58,11 @@
     Parameters
     ----------
     reactor : IReactorTime
-    world : World
+    environment : Environment
     instances : Instances
     callers : Callers
-    judge : Judge
-    calm : Calm
+    checker : InvariantChecker
+    disturbances : DisturbanceTracker
     random_state : random.Random
 
     Notes
@@ -108,7 +109,7 @@
 
     @inlineCallbacks
     def _watch_machine(self):
-        """Record a disturbance of all instances when the machine is overloaded: no bounds apply then."""
+        """Record a disturbance of all instances when the machine is overloaded."""
         while not self._is_over:
             due_at = self.reactor.seconds() + LAG_CHECK_INTERVAL_S
             yield self._sleep(LAG_CHECK_INTERVAL_S)
@@ -136,10 +137,10 @@
             path_version=version - back,
             at=self.reactor.seconds(),
         )
-        status, _ = yield self.callers.ask(name, b"GET", config_query.path)
+        status, _ = yield self.callers.send_request(name, b"GET", config_query.path)
         if self.instances.process_of(name) == process:
             if status is not None:
-                self.disturbances.first_answer(name)
+                self.disturbances.record_answer(name)
             self._check_regression(config_query, status)
             self._check_in_force(config_query, status)
 
--- a/soak/_disturbances.py
+++ b/soak/_disturbances.py
@@ -32,13 +32,13 @@
         self.add_disturbance([name])
         self._started[name] = self.reactor.seconds()
 
-    def first_answer(self, name):
-        """Record an answer of the instance's process; the first one ends its start."""
+    def record_answer(self, name):
+        """Record an answer of the instance's process; the first one completes its start."""
         if self._started.pop(name, None) is not None:
             self.add_disturbance([name])
 
     def is_undisturbed(self, name, at):
-        """Return whether the instance has been undisturbed from `UNDISTURBED_S` before `at` until now."""
+        """Return whether the instance is undisturbed from `UNDISTURBED_S` before `at` until now."""
         started = self._started.get(name)
         if started is not None and self.reactor.seconds() < started + STARTUP_TIMEOUT_S:
             return False
--- a/soak/_environment.py
+++ b/soak/_environment.py
@@ -26,7 +26,7 @@
 
 
 class StandinResource(Resource):
-    """Serves a stand-in's ``handle`` over HTTP, with the fault switches of the simulated network."""
+    """Serves a stand-in's ``handle`` over HTTP, with fault switches of the simulated network."""
 
     isLeaf = True
 
@@ -184,7 +184,7 @@
         self.store.remove("servers", worker.worker_id)
 
     def _worker_crashed(self, worker_slot):
-        """Remove the registry entry of a worker that a task crashed; restart it later with a new id."""
+        """Remove the registry entry of a crashed worker; restart the worker later with a new id."""
         worker_slot.worker.mark_unacknowledged_ends()
         self.store.remove("servers", worker_slot.worker.worker_id)
         self.reactor.callLater(RESTART_DELAY_S, self.start_worker, worker_slot)
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -45,8 +45,8 @@
 CAPACITIES = (1000, 3000, 8000, 12_000)
 
 #: Faults that leave most instances undisturbed, so that the configuration in force there can be
-#: checked. They are drawn separately in every soak, and are the only ones besides series and changes
-#: of capacity in a soak that mainly checks the configuration.
+#: checked. They are drawn separately in every soak, and are the only ones besides series and
+#: changes of capacity in a soak that mainly checks the configuration.
 CONFIG_KINDS = {
     "kill home": 6,
     "pause home": 4,
@@ -87,7 +87,7 @@
 
 
 def make_faults(random_state, *, n_faults, seconds, weights=KINDS):
-    """Return `n_faults` random faults that begin within `seconds`, ordered by their begin."""
+    """Return `n_faults` random faults that begin within `seconds`, ordered by time."""
     kinds = random_state.choices(list(weights), weights=list(weights.values()), k=n_faults)
     faults = [
         Fault(
@@ -107,10 +107,10 @@
     Parameters
     ----------
     reactor : IReactorTime
-    world : World
+    environment : Environment
     instances : Instances
     random_state : random.Random
-    calm : Calm, default=None
+    disturbances : DisturbanceTracker, default=None
         Records which instances a fault of connections or of the store disturbs.
     """
 
@@ -147,7 +147,8 @@
         ]
 
     def _proxy(self, fault):
-        # Without the proxies of callers, who cannot distinguish a fault there from one of the instance.
+        # Excludes the proxies of callers: these cannot distinguish a fault there from one of the
+        # instance.
         names = sorted(name for name in self.environment.proxies if not name.endswith("front"))
         return self.environment.proxies[names[int(fault.selector * len(names))]]
 
@@ -261,7 +262,7 @@
             self.environment.store.put("servers", worker_id, worker.entry())
 
     def _silence_all(self, which):
-        """Drop all further data on open connections, as when a switch loses its connection state."""
+        """Silence all open connections, as when a switch loses its connection state."""
         ends = {"stores": ("store",), "peers": ("peers",), "both": ("store", "peers")}[which]
         for name in self.instances.names:
             for end in ends:
--- a/soak/_final_phase.py
+++ b/soak/_final_phase.py
@@ -16,9 +16,9 @@
 #: Rates of the instances' links to the store from the growth on. Unit: bytes per second.
 LINK_RATES = (625_000, 1_250_000, 2_500_000, 12_500_000)
 
-#: Time without faults after which all instances have contact with the store, and maximum time in
-#: which an instance applies a configuration. A drained instance is restarted after 7 s and has
-#: contact 4 s later. Unit: seconds.
+#: Time without faults after which all instances have contact again, and maximum time in which an
+#: instance applies a configuration. A drained instance is restarted after 7 s and has contact 4 s
+#: later. Unit: seconds.
 RECOVERY_S = 9.0
 APPLY_S = 3.0
 
@@ -62,10 +62,10 @@
     Parameters
     ----------
     reactor : IReactorTime
-    world : World
+    environment : Environment
     instances : Instances
     callers : Callers
-    judge : Judge
+    checker : InvariantChecker
     random_state : random.Random
     watch : ConfigWatch
         Makes no more changes once the growth begins.
@@ -146,7 +146,9 @@
             return
         names = sorted(self.callers.fronts)
         for path in (f"/v{version}/", f"/v{version - 1}/"):
-            answers = yield gatherResults([self.callers.ask(n, b"GET", path) for n in names])
+            answers = yield gatherResults(
+                [self.callers.send_request(n, b"GET", path) for n in names]
+            )
             for name, (status, _) in zip(names, answers, strict=True):
                 wrong_status = 404 if path == f"/v{version}/" else 200
                 if status == wrong_status:
--- a/soak/_instances.py
+++ b/soak/_instances.py
@@ -20,13 +20,13 @@
 
     Parameters
     ----------
-    world : World
+    environment : Environment
     folder : Path
         Folder of the settings and logs.
     n_instances : int
     free_address : callable
         Returns an address that is not in use.
-    calm : Calm, default=None
+    disturbances : DisturbanceTracker, default=None
         Records each start and each signal except SIGHUP, which does not disturb an instance.
     """
 
@@ -38,7 +38,7 @@
         self.names = [f"a{number}" for number in range(n_instances)]
         self.fronts = {}
         self._running = {}
-        self._stopped = set()
+        self._suspended = set()
         self.terminating = set()
         self._without_power = set()
         self._logs = {}
@@ -75,7 +75,7 @@
     @property
     def running(self):
         """Names of the instances whose process is not suspended."""
-        return [name for name in self._running if name not in self._stopped]
+        return [name for name in self._running if name not in self._suspended]
 
     def start(self, name):
         """Start an instance unless it is running or its machine has no power."""
@@ -85,8 +85,8 @@
         if log is None:
             log = self._stack.enter_context((self.folder / f"{name}.log").open("ab"))
             self._logs[name] = log
-        # The launcher runs as a file: as a module of this package, it would first import code that uses
-        # the time of day.
+        # The launcher runs as a file. As a module of this package, it would first import code that
+        # uses the time of day.
         env = {
             **os.environ,
             "ANVILFLOW_CONFIG": str(self.folder / f"{name}.json"),
@@ -103,14 +103,14 @@
         process = self._running.get(name)
         if process is not None and process.poll() is not None:
             del self._running[name]
-            self._stopped.discard(name)
+            self._suspended.discard(name)
             self.terminating.discard(name)
             process = None
         return process is not None
 
     def process_of(self, name):
         """Return the id of the instance's process; None if there is none or it is suspended."""
-        if not self.is_running(name) or name in self._stopped:
+        if not self.is_running(name) or name in self._suspended:
             return None
         return self._running[name].pid
 
@@ -123,14 +123,14 @@
             self.disturbances.add_disturbance([name])
         match number:
             case signal.SIGSTOP:
-                self._stopped.add(name)
+                self._suspended.add(name)
             case signal.SIGCONT:
-                self._stopped.discard(name)
+                self._suspended.discard(name)
             case signal.SIGTERM:
                 self.terminating.add(name)
 
     def lose_power(self):
-        """Kill all instances so that peers see neither a closed connection nor an answer on a new one."""
+        """Kill all instances; peers see no connection close and get no answer on a new one."""
         for proxy in self.environment.proxies.values():
             proxy.silence()
         for name in self.names:
--- a/soak/_invariants.py
+++ b/soak/_invariants.py
@@ -7,8 +7,8 @@
 from ._callers import END_STATES
 
 #: Time after a cancellation, and after the last fault, during which tasks of the job may still be
-#: started and run: a gateway that cannot reach the leader stores a mark that the leader reads later.
-#: Unit: seconds.
+#: started and run: a gateway without contact to the leader stores a mark that the leader reads
+#: later. Unit: seconds.
 CANCEL_GRACE_S = 4.0
 
 #: Minimum number of workers crashed by one task for its job to be shown as failed.
@@ -27,7 +27,7 @@
 
     Parameters
     ----------
-    world : World
+    environment : Environment
 
     Notes
     -----
@@ -44,7 +44,7 @@
         self._old_configs = set()
 
     def state_shown(self, call, before):
-        """Check a state shown to a caller, and that the state shown `before` was not another final one."""
+        """Check a state shown to a caller; a final state shown `before` must not have changed."""
         self.n_checked += 1
         if before in END_STATES and call.shown != before:
             self.violations.append(f"{call.job_id} was shown as {before}, and is {call.shown}")
@@ -68,7 +68,7 @@
             self.violations.append(message)
 
     def config_not_in_force(self, config_query, status, age_s):
-        """Record an answer that only an older version allows, once per instance, path and status."""
+        """Record an answer that only an older version allows; once per instance, path, status."""
         key = (config_query.name, config_query.path, status)
         if key not in self._old_configs:
             self._old_configs.add(key)
--- a/soak/_proxy.py
+++ b/soak/_proxy.py
@@ -64,7 +64,7 @@
     def silence(self):
         """Drop all further data of the open connections, without closing them."""
         for pair in self.pairs:
-            pair.silent = True
+            pair.is_silenced = True
 
     def reset(self, random_state, share):
         """Reset each open connection with probability `share`."""
@@ -86,7 +86,7 @@
         self.proxy = proxy
         self.client = client
         self.server = None
-        self.silent = False
+        self.is_silenced = False
         self._pending_data = {True: [], False: []}
         self._next_send_at = {True: 0.0, False: 0.0}
 
@@ -102,7 +102,7 @@
         self.abort()
 
     def forward(self, data, to_target):
-        if not self.silent:
+        if not self.is_silenced:
             self._pending_data[to_target].append(data)
             self.flush()
 
@@ -133,7 +133,7 @@
         """Handle the close of one leg: abort the other unless the pair is silenced."""
         if self in self.proxy.pairs:
             self.proxy.pairs.remove(self)
-        if not self.silent:
+        if not self.is_silenced:
             self.abort()
 
     def abort(self):
@@ -167,7 +167,7 @@
             return
         self.pair.proxy.pairs.append(self.pair)
         if self.pair.proxy.is_powered_off:
-            self.pair.silent = True
+            self.pair.is_silenced = True
         else:
             self.pair.connect()
 
--- a/soak/_run.py
+++ b/soak/_run.py
@@ -184,7 +184,7 @@
         )
         watching = watch.start()
         calls = []
-        final_phase = FinalPhaseRunner(
+        final_phase_runner = FinalPhaseRunner(
             reactor=self.reactor,
             environment=environment,
             instances=instances,
@@ -195,12 +195,12 @@
         )
         calling = self._keep_calling(callers, calls)
         yield self._sleep(self.seconds + 2.0)
-        yield final_phase.play(ending)
+        yield final_phase_runner.play(ending)
         calling.stop()
         yield self._settle(environment, instances, callers, checker)
         watch.stop()
         yield gatherResults(watching)
-        yield final_phase.check_config()
+        yield final_phase_runner.check_config()
         yield callers.recheck_end_states()
         broken = checker.finish(callers.calls)
         yield gatherResults(calls, consumeErrors=True)
--- a/soak/_shared_link.py
+++ b/soak/_shared_link.py
@@ -52,7 +52,7 @@
 
 
 def _write(leg, data):
-    is_open = leg.transport is not None and leg.transport.connected and not leg.pair.silent
+    is_open = leg.transport is not None and leg.transport.connected and not leg.pair.is_silenced
     if is_open:
         leg.transport.write(data)
     return bool(is_open)
--- a/soak/tests/test_clock_steps.py
+++ b/soak/tests/test_clock_steps.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-#: Steps the time of day of a running instance and prints by how much its clock moved. ``time.time``
-#: is replaced before any other import, so that code that uses it as a clock is affected as by a step
-#: of the machine's clock.
+#: Steps the time of day of a running instance and prints by how much its clock moved.
+#: ``time.time`` is replaced before any other import, so that code that uses it as a clock is
+#: affected as by a step of the machine's clock.
 _SCRIPT = """
 import sys, time
 true_time, step = time.time, [0.0]
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -61,13 +61,13 @@
 
 @pytest.mark.parametrize("answers", [True, False])
 def test_start_is_a_disturbance_until_first_answer_or_timeout(answers):
-    """A process takes seconds to start beside other soaks, but no answer at all must be reported."""
+    """Beside other soaks a process starts within seconds; one that never does must be reported."""
     clock = Clock()
     disturbances = DisturbanceTracker(reactor=clock)
     disturbances.start("a0")
     clock.advance(5.0)
     if answers:
-        disturbances.first_answer("a0")
+        disturbances.record_answer("a0")
     assert not disturbances.is_undisturbed("a0", 5.0)
     clock.advance(4.0)
     assert disturbances.is_undisturbed("a0", 9.0) is answers
@@ -116,7 +116,7 @@
 class _Leg:
     """One end of a connection, with the attributes that a link uses."""
 
-    silent = False
+    is_silenced = False
 
     def __init__(self, connected):
         self.connected = connected
