--- a/soak/_config_watch.py
+++ b/soak/_config_watch.py
@@ -36,20 +36,20 @@
 class ConfigQuery(Struct, kw_only=True):
     """One query to an instance, sent at time `at`. Unit of `at`: seconds.
 
-    `version` is the newest version at that time, `path_version` the one whose queue `path` names.
+    `version` is the newest version at that time, `asked` the one whose queue `path` names.
     """
 
     name: str
     process: int
     path: str
     version: int
-    path_version: int
+    asked: int
     at: float
 
     @property
     def is_count_query(self):
         """Whether the query asks for the number of pending jobs."""
-        return self.path.endswith(f"/v{self.path_version}/")
+        return self.path.endswith(f"/v{self.asked}/")
 
 
 class ConfigWatch:
@@ -134,7 +134,7 @@
             process=process,
             path=f"/v{version - back}/{suffix}",
             version=version,
-            path_version=version - back,
+            asked=version - back,
             at=self.reactor.seconds(),
         )
         status, _ = yield self.callers.send_request(name, b"GET", config_query.path)
@@ -148,16 +148,16 @@
         """Check that a process does not use an older version than it has used before."""
         key = (config_query.name, config_query.process)
         seen, seen_at = self._seen.get(key, (0, 0.0))
-        if config_query.path_version < config_query.version:
+        if config_query.asked < config_query.version:
             is_older = status == 200
         else:
             # An instance with a newer version answers 404 for this queue, too.
             is_older = status == 404 and config_query.version == self.environment.config_version
-        shows = config_query.path_version - 1 if status == 404 else config_query.path_version
+        shows = config_query.asked - 1 if status == 404 else config_query.asked
         if is_older and shows < seen and config_query.at > seen_at + REGRESSION_GRACE_S:
             self.checker.version_regressed(config_query.name, config_query.path, seen, status)
-        if status == 200 and config_query.path_version > seen:
-            self._seen[key] = (config_query.path_version, self.reactor.seconds())
+        if status == 200 and config_query.asked > seen:
+            self._seen[key] = (config_query.asked, self.reactor.seconds())
 
     def _check_in_force(self, config_query, status):
         """Check that an undisturbed instance uses the newest version once it is due."""
@@ -191,6 +191,6 @@
     Only the number of pending jobs is guaranteed under every failure. A job's state may be
     unavailable because no instance can report it.
     """
-    if config_query.path_version < config_query.version:
+    if config_query.asked < config_query.version:
         return status == 404
     return status == 200 if config_query.is_count_query else status not in (None, 404)
--- a/soak/_faults.py
+++ b/soak/_faults.py
@@ -78,12 +78,12 @@
 
 
 class Fault(Struct, kw_only=True):
-    """One fault; `selector`, from 0 to 1, selects its target. Unit of `at` and `for_s`: seconds."""
+    """One fault; `pick`, from 0 to 1, selects its target. Unit of `at` and `for_s`: seconds."""
 
     at: float
     for_s: float
     kind: str
-    selector: float
+    pick: float
 
 
 def make_faults(random_state, *, n_faults, seconds, weights=KINDS):
@@ -94,7 +94,7 @@
             at=random_state.uniform(0.5, seconds),
             for_s=random_state.choice([0.3, 1.0, 2.0, 4.0]),
             kind=kind,
-            selector=random_state.random(),
+            pick=random_state.random(),
         )
         for kind in kinds
     ]
@@ -139,18 +139,16 @@
 
     def _instance(self, fault):
         names = self.instances.names
-        return self._leader() if "home" in fault.kind else names[int(fault.selector * len(names))]
+        return self._leader() if "home" in fault.kind else names[int(fault.pick * len(names))]
 
     def _worker_slot(self, fault):
-        return self.environment.worker_slots[
-            int(fault.selector * len(self.environment.worker_slots))
-        ]
+        return self.environment.worker_slots[int(fault.pick * len(self.environment.worker_slots))]
 
     def _proxy(self, fault):
         # Excludes the proxies of callers: these cannot distinguish a fault there from one of the
         # instance.
         names = sorted(name for name in self.environment.proxies if not name.endswith("front"))
-        return self.environment.proxies[names[int(fault.selector * len(names))]]
+        return self.environment.proxies[names[int(fault.pick * len(names))]]
 
     def inject(self, fault):
         """Begin a fault and schedule its end."""
@@ -192,7 +190,7 @@
                 self._inject_connection_fault(fault, self._proxy(fault), fault.kind)
 
     def _begin_series(self, fault, kind):
-        each = Fault(at=fault.at, for_s=fault.for_s, kind=kind, selector=fault.selector)
+        each = Fault(at=fault.at, for_s=fault.for_s, kind=kind, pick=fault.pick)
         at = 0.0
         for _ in range(SERIES_LENGTH):
             self._schedule(at, self.inject, each)
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "path_version", "status", "is_allowed"),
+    ("path", "asked", "status", "is_allowed"),
     [
         ("/v5/", 5, 200, True),
         ("/v5/", 5, 404, False),
@@ -89,11 +89,9 @@
         ("/v5/0000000000000000", 5, 404, False),
     ],
 )
-def test_answers_that_the_newest_version_allows(path, path_version, status, is_allowed):
+def test_answers_that_the_newest_version_allows(path, asked, status, is_allowed):
     """The queue of the newest version must be served, that of the version before must not."""
-    config_query = ConfigQuery(
-        name="a0", process=1, path=path, version=5, path_version=path_version, at=0.0
-    )
+    config_query = ConfigQuery(name="a0", process=1, path=path, version=5, asked=asked, at=0.0)
     assert _is_allowed_answer(config_query, status) is is_allowed
 
 
