--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,12 +1,13 @@
-"""What each mechanism of the scheduler is worth: played with it and without it.
+"""Ablation study: the effect of switching off each mechanism of the scheduler.
 
     .venv/bin/python benchmarks/ablation.py [--seeds N]
     .venv/bin/python benchmarks/ablation.py --kit PROGRAM --site SITE [--site SITE] [--pairs N]
 
-Without a kit three loads are played on the scheduler alone, in virtual time: some minutes. With
-one, days of a site are played on scratch copies of this checkout, which differ in nothing but the
-`scheduling` section of the settings; the copies lie beside this checkout and stay, with their
-entries in the journal. Printed is the mean difference to the defaults, with its standard error.
+Without `--kit`, each of `LOADS` is simulated on the scheduler alone, in virtual time; this takes a
+few minutes. With `--kit`, the kit's program runs scenarios of a site on scratch copies of this
+checkout that differ only in the `scheduling` section of the settings. The copies, with their
+journal entries, are created next to this checkout and are not removed. The output is the mean
+difference from the default policy, with its standard error.
 """
 
 import argparse
@@ -24,7 +25,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 
-#: Mechanism and the settings that switch it off. What keeps a promise has no switch.
+#: Settings that switch off each mechanism. Mechanisms that uphold an invariant have no switch.
 SWITCHES = {
     "share of workers for urgent work": {"reserve_share": 0.0},
     "workers kept free, with preemption": {"max_reserved": 0},
@@ -40,25 +41,25 @@
 
 LOADS = ("usual", "heavy", "slow workers", "wide")
 
-#: Days that are played, each with a seed of its own.
-DAYS = ("trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3")
+#: Scenarios that the kit runs in turn, each time with another seed, counted from `FIRST_SEED`.
+SCENARIOS = ("trouble-1", "scale-1", "trouble-2", "scale-2", "trouble-3")
 FIRST_SEED = 100
 
 
 def parse_args():
-    """Return the arguments of the command line."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=int, default=24, help="plays of a load and mechanism")
-    parser.add_argument("--kit", help="the program that plays days")
-    parser.add_argument("--site", action="append", default=[], help="a site file")
-    parser.add_argument("--pairs", type=int, default=10, help="days a site and mechanism")
-    parser.add_argument("--jobs", type=int, default=4, help="plays at once")
+    parser.add_argument("--seeds", type=int, default=24, help="simulations per load and mechanism")
+    parser.add_argument("--kit", help="program that runs the scenarios of a site")
+    parser.add_argument("--site", action="append", default=[], help="site file; may be repeated")
+    parser.add_argument("--pairs", type=int, default=10, help="scenarios per site and mechanism")
+    parser.add_argument("--jobs", type=int, default=4, help="number of parallel runs")
     parser.add_argument("--only", action="append", help="mechanisms; default: all")
     return parser.parse_args()
 
 
-def make_copy(name, policy):
-    """Return a checkout beside this one whose settings have a policy."""
+def make_clone(name, policy):
+    """Return a clone of this checkout, next to it, whose settings contain a policy."""
     slug = re.sub(r"[^a-z]+", "-", name)
     copy = ROOT.parent / f"ablation-{slug}"
     if not copy.exists():
@@ -73,45 +74,47 @@
     return copy
 
 
-def play_day(kit, copy, site, why, number):
-    """Play a day; return its worth, or None when it was not played to its end."""
-    day = DAYS[number % len(DAYS)]
-    command = [kit, "run", site, day, "--seed", str(FIRST_SEED + number), "--no-cpu", "--why", why]
-    run = subprocess.run(command, cwd=copy, capture_output=True, text=True, check=False)
-    found = re.search(r"^worth ([\d.]+) = ", run.stdout, re.MULTILINE)
+def run_scenario(kit, copy, site, why, index):
+    """Run a scenario; return the worth that the kit reports, or None if the run did not finish."""
+    scenario = SCENARIOS[index % len(SCENARIOS)]
+    argv = [kit, "run", site, scenario, "--seed", str(FIRST_SEED + index), "--no-cpu", "--why", why]
+    result = subprocess.run(argv, cwd=copy, capture_output=True, text=True, check=False)
+    found = re.search(r"^worth ([\d.]+) = ", result.stdout, re.MULTILINE)
     return float(found[1]) if found else None
 
 
-def play_days(args, site, name, policy):
-    """Return the worth of each day with a policy."""
-    play = partial(play_day, args.kit, make_copy(name, policy), site, f"ablation: without {name}")
+def run_scenarios(args, site, name, policy):
+    """Return the worth of each scenario under a policy."""
+    run = partial(
+        run_scenario, args.kit, make_clone(name, policy), site, f"ablation: without {name}"
+    )
     with ThreadPoolExecutor(args.jobs) as pool:
-        return list(pool.map(play, range(args.pairs)))
+        return list(pool.map(run, range(args.pairs)))
 
 
-def play_loads(args, load, _, policy):
-    """Return the share of worth that callers got, by seed."""
-    play = partial(play_load, load, SchedulingPolicy(**policy))
+def simulate_load(args, load, _, policy):
+    """Return the share of the total worth that callers received, for each seed."""
+    run = partial(play_load, load, SchedulingPolicy(**policy))
     with ProcessPoolExecutor(args.jobs) as pool:
-        return list(pool.map(play, range(args.seeds)))
+        return list(pool.map(run, range(args.seeds)))
 
 
-def show_difference(name, worths, without):
-    """Print a row of the table."""
-    pairs = zip(worths, without, strict=True)
+def print_row(name, worths, ablated):
+    """Print the table row of one mechanism, from the pairs of which both runs finished."""
+    pairs = zip(worths, ablated, strict=True)
     differences = [second - first for first, second in pairs if None not in (first, second)]
     error = stdev(differences) / len(differences) ** 0.5 if len(differences) > 1 else float("nan")
     print(f"| {name} | {mean(differences):+.4f} | {error:.4f} | {len(differences)} |", flush=True)
 
 
-def show_table(args, play, where, title):
-    """Print the table of a load or a site."""
-    worths = play(args, where, "none", {})
+def print_table(args, measure, where, title):
+    """Print the table of one load or site."""
+    worths = measure(args, where, "none", {})
     print(f"{title}: {mean(each for each in worths if each is not None):.4f} with all")
-    print("| without | difference | standard error | plays |\n|---|---|---|---|")
+    print("| without | difference | standard error | runs |\n|---|---|---|---|")
     for name, policy in SWITCHES.items():
         if not args.only or name in args.only:
-            show_difference(name, worths, play(args, where, name, policy))
+            print_row(name, worths, measure(args, where, name, policy))
 
 
 def main():
@@ -119,11 +122,11 @@
     args = parse_args()
     if args.kit is None:
         for load in LOADS:
-            show_table(args, play_loads, load, load)
+            print_table(args, simulate_load, load, load)
         return
     args.kit = str(Path(args.kit).resolve())
     for site in args.site:
-        show_table(args, play_days, str(Path(site).resolve()), Path(site).stem)
+        print_table(args, run_scenarios, str(Path(site).resolve()), Path(site).stem)
 
 
 if __name__ == "__main__":
--- a/benchmarks/bench_cell.py
+++ b/benchmarks/bench_cell.py
@@ -1,8 +1,9 @@
-"""What the cell costs and how fast it starts: one virtual minute of a steady load on stand-ins.
+"""Benchmark of the cell's costs and start delays under one virtual minute of a steady load.
 
-Prints processor time a task start, store calls and bytes a job, calls to workers a start, and the
-time from a job's acceptance to the start of its tasks. Leader, entries and stand-ins share the
-process: its time only means something beside that of another version.
+Prints processor time per task start, store calls and bytes written per job, calls to workers per
+start, and the time from the acceptance of a job to the start of its first step's tasks. The leader,
+the gateways and the stand-ins share one process: its processor time is only meaningful in
+comparison with another version of the code.
 """
 
 import time
@@ -12,7 +13,7 @@
 from anvilflow.metrics import summarize
 from anvilflow.standins import PlatformCell, make_job_body
 
-#: Load: jobs a second of two steps with six tasks each, as the quick queue of today's sites.
+#: Load: jobs per second of two steps with six tasks each, as in the quick queue of current sites.
 JOBS_PER_S = 7
 SECONDS = 60
 STEPS = [
@@ -22,7 +23,7 @@
 
 
 def main():
-    """Play the load and print the figures."""
+    """Run the load and print the figures."""
     cell = PlatformCell(n_instances=9, n_workers=24)
     cell.start()
     calls_before = sum(cell.wire.calls.values())
@@ -38,11 +39,11 @@
         accepted[job_id] = cell.clock.seconds()
         cell.advance(1 / JOBS_PER_S)
     cell.advance(5.0)
-    spent = time.process_time() - began
-    _show(cell, accepted, spent, calls_before, writes_before, reads_before, bytes_before)
+    cpu_s = time.process_time() - began
+    _print_figures(cell, accepted, cpu_s, calls_before, writes_before, reads_before, bytes_before)
 
 
-def _show(cell, accepted, spent, calls_before, writes_before, reads_before, bytes_before):
+def _print_figures(cell, accepted, cpu_s, calls_before, writes_before, reads_before, bytes_before):
     waits = HdrHistogram(1, 3_600_000_000, 2)
     for span in cell.spans:
         job_id, _, step, _ = span.task.split(".")
@@ -50,14 +51,14 @@
             waits.record_value(max(1, int((span.began_at - accepted[job_id]) * 1e6)))
     n_starts, n_jobs = len(cell.spans), len(accepted)
     n_bytes = sum(len(entry[5] or b"") for entry in cell.store.log) - bytes_before
-    to_workers = sum(n for (_, address), n in cell.wire.calls.items() if address.startswith("w"))
+    n_calls = sum(n for (_, address), n in cell.wire.calls.items() if address.startswith("w"))
     wait = summarize(waits)
     print(f"{n_jobs} jobs, {n_starts} starts, broken: {cell.check()}")
-    print(f"processor a start, all of the process: {1000 * spent / n_starts:.2f} ms")
+    print(f"processor a start, all of the process: {1000 * cpu_s / n_starts:.2f} ms")
     print(f"store writes a job: {(cell.store.n_writes - writes_before) / n_jobs:.2f}")
     print(f"store reads a job: {(cell.store.n_reads - reads_before) / n_jobs:.2f}")
     print(f"bytes written a job: {n_bytes / n_jobs:.0f}")
-    print(f"calls to workers a start: {to_workers / n_starts:.2f}")
+    print(f"calls to workers a start: {n_calls / n_starts:.2f}")
     print(f"acceptance to start: p50 {wait['p50'] * 1000:.1f} ms, p99 {wait['p99'] * 1000:.1f} ms")
 
 
