--- a/benchmarks/bench_decisions.py
+++ b/benchmarks/bench_decisions.py
@@ -1,4 +1,7 @@
-"""Waiting, isolation, packing and cost of the decisions, against first come first served."""
+"""Benchmark of the decision code: waiting times, isolation of customers, packing and cost.
+
+First come, first served is the baseline.
+"""
 
 import statistics
 import time
@@ -6,7 +9,7 @@
 from random import Random
 
 import fire
-from rig import LOOKUP, REFRESH, FirstComeFirstServed, Rig, make_owner_scheduler
+from rig import LOOKUP, REFRESH, FirstComeFirstServed, Simulation, make_owner_scheduler
 
 from anvilflow.decisions import Hold, OwnerScheduler, Request, WorkerAllocation
 from anvilflow.resources import Amounts
@@ -21,30 +24,30 @@
 
 
 def report(line, value, limit, *, at_most=True):
-    """Print one line of what must be reached."""
-    good = value <= limit if at_most else value >= limit
+    """Print a value and whether it meets its limit."""
+    is_met = value <= limit if at_most else value >= limit
     word = "at most" if at_most else "at least"
-    print(f"{'reached' if good else 'SHORT':8} {line}: {value:,.3f} ({word} {limit:,})")
+    print(f"{'reached' if is_met else 'SHORT':8} {line}: {value:,.3f} ({word} {limit:,})")
 
 
-def isolation(make_scheduler, factor, seed):
-    """Return the small customer's waits with a neighbour at `factor` times its rate."""
-    rig = Rig(make_scheduler=make_scheduler, random_state=seed, **CELL)
+def run_isolation(make_scheduler, factor, seed):
+    """Simulate a small customer, a neighbour with `factor` times its rate, and a batch backlog."""
+    simulation = Simulation(make_scheduler=make_scheduler, random_state=seed, **CELL)
     random_state = Random(seed)
 
     def heavy_tail():
         return min(1.0, 0.02 * random_state.paretovariate(1.5))
 
-    rig.arrivals("small", SMALL_RATE, lambda: 0.02, SECONDS)
+    simulation.arrivals("small", SMALL_RATE, lambda: 0.02, SECONDS)
     if factor:
-        rig.arrivals("large", SMALL_RATE * factor, heavy_tail, SECONDS)
-    rig.backlog("batch", 4, lambda: random_state.uniform(0.5, 2.0), SECONDS)
-    rig.run(SECONDS)
-    return rig
+        simulation.arrivals("large", SMALL_RATE * factor, heavy_tail, SECONDS)
+    simulation.backlog("batch", 4, lambda: random_state.uniform(0.5, 2.0), SECONDS)
+    simulation.run(SECONDS)
+    return simulation
 
 
 def bench_isolation(seed):
-    """Print the table of waits by policy and neighbour."""
+    """Print the waiting times by policy and neighbour; return them with refusals and packing."""
     print("\nWaiting of the small customer, ms, with a batch backlog and a neighbour at N times")
     print(f"{'policy':24} {'N':>4} {'p50':>9} {'p99':>9} {'max':>9} {'refused':>8} {'packing':>8}")
     results = {}
@@ -53,11 +56,11 @@
         ("fcfs", FirstComeFirstServed),
     ):
         for factor in (0, 1, 10, 100):
-            rig = isolation(make_scheduler, factor, seed)
-            row = rig.summary("small")
+            simulation = run_isolation(make_scheduler, factor, seed)
+            row = simulation.summary("small")
             slots = CELL["n_workers"] * CELL["capacity"].slots
-            packing = rig.busy_slot_s / (slots * SECONDS)
-            refused = rig.n_refused.get("small", 0)
+            packing = simulation.busy_slot_s / (slots * SECONDS)
+            refused = simulation.n_refused.get("small", 0)
             times = "".join(f" {1000 * row[key]:9.2f}" for key in ("p50", "p99", "max"))
             print(f"{name:24} {factor:4}{times} {refused:8} {packing:8.1%}")
             results[name, factor] = (row, refused, packing)
@@ -65,7 +68,7 @@
 
 
 def bench_cost(n_workers, n_running, n_rounds=20_000):
-    """Return decisions a second, p50 and p99 of one decision in us, and bytes a task."""
+    """Return decisions per second, p50 and p99 of a decision in us, and bytes per task."""
     capacity = Amounts(cpu_milli=64_000, memory_mb=262_144, slots=32)
     scheduler = OwnerScheduler(reserve=0.25)
     for number in range(n_workers):
@@ -100,29 +103,29 @@
     return n_rounds / sum(times), 1e6 * p50, 1e6 * p99, size
 
 
-def bench_urgent(seed):
-    """Return the waits of urgent requests on a cell that a batch fills."""
-    rig = Rig(make_scheduler=make_owner_scheduler, random_state=seed, **CELL)
+def run_urgent(seed):
+    """Simulate urgent requests on a cell that is filled by a batch."""
+    simulation = Simulation(make_scheduler=make_owner_scheduler, random_state=seed, **CELL)
     random_state = Random(seed)
-    rig.backlog("batch", 8, lambda: random_state.uniform(5.0, 50.0), SECONDS)
-    rig.arrivals("urgent", 20.0, lambda: 0.5, SECONDS)
-    rig.run(SECONDS)
-    return rig
+    simulation.backlog("batch", 8, lambda: random_state.uniform(5.0, 50.0), SECONDS)
+    simulation.arrivals("urgent", 20.0, lambda: 0.5, SECONDS)
+    simulation.run(SECONDS)
+    return simulation
 
 
 def main(seed=0, rounds=3):
-    """Run all."""
+    """Run all benchmarks, the cost benchmark `rounds` times, and print the results."""
     results = bench_isolation(seed)
-    urgent = bench_urgent(seed)
+    urgent = run_urgent(seed)
     print("\nCost of one decision (place a request, free its place)")
     costs = {}
     for n_workers, n_running in ((24, 144), (950, 14_000)):
         runs = [bench_cost(n_workers, n_running) for _ in range(rounds)]
         rate, p50, p99, size = (statistics.median(values) for values in zip(*runs, strict=True))
-        least = min(run[0] for run in runs)
+        lowest = min(run[0] for run in runs)
         costs[n_workers] = (rate, p50, p99)
         print(
-            f"{n_workers:4} workers, {n_running:6} running: {rate:8,.0f}/s (least {least:,.0f}), "
+            f"{n_workers:4} workers, {n_running:6} running: {rate:8,.0f}/s (least {lowest:,.0f}), "
             f"p50 {p50:.1f} us, p99 {p99:.1f} us, {size:,.0f} bytes a task"
         )
     print()
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -1,8 +1,8 @@
-"""Requests per second through one entry instance, against a bare round trip in the same run.
+"""Benchmark of requests per second through one gateway, compared with a bare HTTP round trip.
 
-A request through an instance costs two HTTP round trips at least: caller to entry, owner to
-worker. Everything runs in this one process on loopback, so a ratio of 0.5 would mean that the
-instance itself costs nothing.
+Both are measured in the same run. A request through an instance takes at least two HTTP round
+trips: from caller to gateway and from owner to worker. Everything runs in one process on the
+loopback interface, so a ratio of 0.5 would mean that the instance itself adds no cost.
 """
 
 import statistics
@@ -18,29 +18,29 @@
 from anvilflow.standins import Cell, listen, make_client, make_declarations
 from anvilflow.utils import encode
 
-#: The least ratio that is asked for.
+#: Required ratio of the rate through the gateway to the rate of bare round trips.
 TARGET = 0.45
 
 IN_FLIGHT = 32
 
 
 async def measure(n_requests, call):
-    """Return requests per second with `IN_FLIGHT` at once."""
-    left = n_requests
+    """Return the requests per second with `IN_FLIGHT` concurrent requests."""
+    n_left = n_requests
 
-    async def one_after_the_other():
-        nonlocal left
-        while left > 0:
-            left -= 1
+    async def send_in_sequence():
+        nonlocal n_left
+        while n_left > 0:
+            n_left -= 1
             await call()
 
     began = time.perf_counter()
-    await DeferredList([ensureDeferred(one_after_the_other()) for _ in range(IN_FLIGHT)])
+    await DeferredList([ensureDeferred(send_in_sequence()) for _ in range(IN_FLIGHT)])
     return n_requests / (time.perf_counter() - began)
 
 
-def make_bare():
-    """Return a klein app that answers what the worker stand-in would."""
+def make_bare_app():
+    """Return a klein app that sends the same response as the worker stand-in."""
     app = Klein()
 
     @app.route("/request", methods=["POST"])
@@ -52,7 +52,7 @@
 
 
 async def run(rounds, n_requests):
-    """Measure and print."""
+    """Measure all rates; return the result of `report`."""
     cell = Cell(
         reactor=reactor,
         domains=["d1"],
@@ -63,24 +63,28 @@
         declarations=make_declarations(reserve=0.0),
     )
     await cell.start()
-    port = listen(reactor, make_bare(), "127.0.0.1")
+    port = listen(reactor, make_bare_app(), "127.0.0.1")
     bare_url = f"http://127.0.0.1:{port.getHost().port}/request"
-    path_url = f"http://{cell.daemons['a1'].context.callers_address}/v1/requests"
+    gateway_url = f"http://{cell.daemons['a1'].context.callers_address}/v1/requests"
     body = encode({"customer": "small", "workload": "lookup", "payload": '{"token":"x"}'})
     client = make_client(reactor)
 
-    async def by_treq():
+    async def post_with_treq():
         response = await treq.post(bare_url, data=body)
         await treq.content(response)
 
-    async def by_client():
+    async def post_with_client():
         await client.post(bare_url, body, timeout=10)
 
-    async def through_entry():
-        status, answer = await client.post(path_url, body, timeout=10)
+    async def post_through_gateway():
+        status, answer = await client.post(gateway_url, body, timeout=10)
         assert status == 200, (status, answer)
 
-    calls = {"bare treq": by_treq, "bare, our client": by_client, "through entry": through_entry}
+    calls = {
+        "bare treq": post_with_treq,
+        "bare, our client": post_with_client,
+        "through gateway": post_through_gateway,
+    }
     for call in calls.values():
         await measure(n_requests // 4, call)
     rates = {name: [] for name in calls}
@@ -93,14 +97,14 @@
 
 
 def report(rates):
-    """Print rates and ratios; return whether the target is reached."""
+    """Print rates and ratios; return whether the ratio to bare treq reaches `TARGET`."""
     print(f"{'':18} {'min/s':>8} {'median/s':>9}")
     for name, values in rates.items():
         print(f"{name:18} {min(values):8.0f} {statistics.median(values):9.0f}")
     reached = True
     for name in ("bare treq", "bare, our client"):
-        pairs = zip(rates["through entry"], rates[name], strict=True)
-        ratios = [path / bare for path, bare in pairs]
+        pairs = zip(rates["through gateway"], rates[name], strict=True)
+        ratios = [through_gateway / bare for through_gateway, bare in pairs]
         median = statistics.median(ratios)
         word = "reached" if median >= TARGET else "short"
         print(f"ratio to {name}: min {min(ratios):.2f} median {median:.2f} ({TARGET}: {word})")
--- a/benchmarks/rig.py
+++ b/benchmarks/rig.py
@@ -1,6 +1,7 @@
-"""A measuring rig for decisions: seeded arrivals through the decision code in virtual time.
+"""Simulation of the decision code under seeded random arrivals, in virtual time.
 
-It models no cluster: run times are given, messages take no time, nothing fails.
+The simulation is not a model of a cluster: run times are given, messages take no time and nothing
+fails.
 """
 
 import heapq
@@ -24,60 +25,60 @@
 LOOKUP = Amounts(cpu_milli=500, memory_mb=512)
 REFRESH = Amounts(cpu_milli=1000, memory_mb=1024)
 
-_LONGEST_US = 3_600_000_000
+_MAX_WAIT_US = 3_600_000_000
 _DIGEST_S = 0.25
 _TICK_S = 0.05
 
 
 class FirstComeFirstServed:
-    """The baseline: one queue, first come first served, first worker that fits."""
+    """Baseline scheduler: one queue, first come, first served, on the first worker that fits."""
 
     def __init__(self, *, reserve=0.25, hold_s=3.0):
         self.queue = []
         self.allocations = []
-        self.at = {}
+        self.placements = {}
 
     def add_worker(self, allocation, now):
-        """Use a worker."""
+        """Add a worker."""
         self.allocations.append(allocation)
         return []
 
     def submit(self, request, now):
-        """Queue a request at the end."""
+        """Append a request to the queue."""
         self.queue.append((request.request_id, request.needs, request))
-        return self._pump()
+        return self._place_waiting()
 
     def ask_hold(self, hold, now):
-        """Queue a task at the end of the same queue."""
+        """Append a task to the same queue."""
         self.queue.append((hold.hold_id, hold.needs, hold))
-        return self._pump()
+        return self._place_waiting()
 
     def start(self, hold_id):
-        """Start at once."""
+        """Do nothing: the capacity is taken when the hold is granted."""
 
     def finished(self, item, now, *, run_time=None):
-        """Free a place."""
-        allocation, needs = self.at.pop(item)
-        _add(allocation, needs, 1)
-        return self._pump()
+        """Free the capacity of an item that has ended."""
+        allocation, needs = self.placements.pop(item)
+        _add_to_free(allocation, needs, 1)
+        return self._place_waiting()
 
     task_ended = finished
 
     def tick(self, now):
-        """Nothing expires."""
+        """Return no messages, as nothing expires."""
         return []
 
     @property
     def free_service_slots(self):
-        """Free slots."""
+        """Number of free slots."""
         return sum(allocation.free[3] for allocation in self.allocations)
 
     @property
     def n_queued(self):
-        """Items that wait."""
+        """Number of waiting items."""
         return len(self.queue)
 
-    def _pump(self):
+    def _place_waiting(self):
         out = []
         while self.queue:
             item, needs, value = self.queue[0]
@@ -87,10 +88,12 @@
             if allocation is None:
                 break
             self.queue.pop(0)
-            _add(allocation, needs, -1)
-            self.at[item] = (allocation, needs)
-            kind = Dispatch(request=value, worker=allocation.worker)
-            out.append(kind if isinstance(value, Request) else HoldGranted(hold=value, worker=""))
+            _add_to_free(allocation, needs, -1)
+            self.placements[item] = (allocation, needs)
+            dispatch = Dispatch(request=value, worker=allocation.worker)
+            out.append(
+                dispatch if isinstance(value, Request) else HoldGranted(hold=value, worker="")
+            )
         return out
 
 
@@ -98,21 +101,21 @@
     return needs.cpu_milli <= allocation.free[0] and needs.slots <= allocation.free[3]
 
 
-def _add(allocation, needs, sign):
+def _add_to_free(allocation, needs, sign):
     allocation.free[0] += sign * needs.cpu_milli
     allocation.free[3] += sign * needs.slots
 
 
-class Rig:
-    """Several owners' books, one clock, and the waiting times of each customer.
+class Simulation:
+    """Simulation of the schedulers of several owners, with the waiting times of each customer.
 
     Parameters
     ----------
     make_scheduler : callable
-        Builds the book of one owner.
+        Returns the scheduler of one owner.
     n_owners, n_workers : int
     capacity : Amounts
-        Of each worker.
+        Capacity of each worker.
     random_state : int
     """
 
@@ -125,67 +128,67 @@
         self.busy_slot_s = 0.0
         self.n_placed = 0
         self._events = []
-        self._order = itertools.count()
+        self._numbers = itertools.count()
         self._arrived = {}
         self._run_times = {}
         self.schedulers = [make_scheduler() for _ in range(n_owners)]
-        self._seen = [0] * n_owners
+        self._digests = [0] * n_owners
         for number in range(n_workers):
             allocation = WorkerAllocation(worker=f"w{number}", capacity=capacity)
             self.schedulers[number % n_owners].add_worker(allocation, 0.0)
 
-    def at(self, time, call, *args):
-        """Call at a time."""
-        heapq.heappush(self._events, (time, next(self._order), call, args))
+    def call_at(self, time, call, *args):
+        """Schedule a call at a time."""
+        heapq.heappush(self._events, (time, next(self._numbers), call, args))
 
     def arrivals(self, customer, rate, run_time, until, *, deadline=5.0):
-        """Let requests arrive at random until a time; `run_time` is a callable."""
+        """Schedule requests at random times until a time; `run_time` is a callable."""
         time = self.random_state.expovariate(rate)
         while time < until:
-            self.at(time, self._request, customer, run_time(), deadline)
+            self.call_at(time, self._submit_request, customer, run_time(), deadline)
             time += self.random_state.expovariate(rate)
 
     def backlog(self, customer, n_waiting, run_time, until):
         """Keep `n_waiting` tasks waiting at each owner until a time."""
         for number, _ in enumerate(self.schedulers):
             for _ in range(n_waiting):
-                self._hold(number, customer, run_time, until)
+                self._submit_hold(number, customer, run_time, until)
 
     def run(self, until):
-        """Let time pass."""
+        """Process all events until a time."""
         for tick in range(int(until / _DIGEST_S) + 1):
-            self.at(tick * _DIGEST_S, self._see)
+            self.call_at(tick * _DIGEST_S, self._refresh_digests)
         for tick in range(int(until / _TICK_S) + 1):
-            self.at(tick * _TICK_S, self._tick)
+            self.call_at(tick * _TICK_S, self._tick)
         while self._events and self._events[0][0] <= until:
             self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
 
     def summary(self, customer):
-        """Return count, p50, p99 and maximum of a customer's waits. Unit: seconds."""
+        """Return count, p50, p99 and maximum of a customer's waiting times. Unit: seconds."""
         histogram = self.waits.get(customer)
         return summarize(histogram) if histogram else {"n": 0, "p50": 0, "p99": 0, "max": 0}
 
-    def _see(self):
-        """Take new digests."""
-        self._seen = [
+    def _refresh_digests(self):
+        """Refresh the digest of each owner, which is its free slots less its waiting items."""
+        self._digests = [
             scheduler.free_service_slots - scheduler.n_queued for scheduler in self.schedulers
         ]
 
     def _tick(self):
         for number, scheduler in enumerate(self.schedulers):
-            self._take(number, scheduler.tick(self.now))
+            self._handle(number, scheduler.tick(self.now))
 
-    def _choose(self):
+    def _choose_owner(self):
         numbers = range(len(self.schedulers))
-        some = self.random_state.sample(numbers, min(2, len(self.schedulers)))
-        best = max(some, key=lambda number: self._seen[number])
-        self._seen[best] -= 1
+        candidates = self.random_state.sample(numbers, min(2, len(self.schedulers)))
+        best = max(candidates, key=lambda number: self._digests[number])
+        self._digests[best] -= 1
         return best
 
-    def _request(self, customer, run_time, deadline):
-        number = self._choose()
-        item = f"r{next(self._order)}"
+    def _submit_request(self, customer, run_time, deadline):
+        number = self._choose_owner()
+        item = f"r{next(self._numbers)}"
         self._arrived[item] = (customer, self.now)
         self._run_times[item] = run_time
         request = Request(
@@ -196,51 +199,51 @@
             run_time=0.02,
             deadline=self.now + deadline,
         )
-        self._take(number, self.schedulers[number].submit(request, self.now))
+        self._handle(number, self.schedulers[number].submit(request, self.now))
 
-    def _hold(self, number, customer, run_time, until):
+    def _submit_hold(self, number, customer, run_time, until):
         if self.now >= until:
             return
-        item = f"t{next(self._order)}"
+        item = f"t{next(self._numbers)}"
         self._run_times[item] = run_time()
         self._arrived[item] = (customer, self.now)
-        again = (self._hold, number, customer, run_time, until)
-        self._run_times[item, "again"] = again
+        resubmission = (self._submit_hold, number, customer, run_time, until)
+        self._run_times[item, "again"] = resubmission
         hold = Hold(hold_id=item, customer=customer, needs=REFRESH, age=1)
-        self._take(number, self.schedulers[number].ask_hold(hold, self.now))
+        self._handle(number, self.schedulers[number].ask_hold(hold, self.now))
 
-    def _take(self, number, messages):
+    def _handle(self, number, messages):
         for message in messages:
             match message:
                 case Dispatch(request=request):
-                    self._placed(number, request.request_id, self.schedulers[number].finished)
+                    self._note_placed(number, request.request_id, self.schedulers[number].finished)
                 case HoldGranted(hold=hold):
                     self.schedulers[number].start(hold.hold_id)
-                    self._placed(number, hold.hold_id, self.schedulers[number].task_ended)
-                    again = self._run_times.pop((hold.hold_id, "again"), None)
-                    if again:
-                        self.at(self.now, *again)
+                    self._note_placed(number, hold.hold_id, self.schedulers[number].task_ended)
+                    resubmission = self._run_times.pop((hold.hold_id, "again"), None)
+                    if resubmission:
+                        self.call_at(self.now, *resubmission)
                 case Refuse(request_id=item):
                     customer, _ = self._arrived.pop(item)
                     self.n_refused[customer] = self.n_refused.get(customer, 0) + 1
                 case _:
-                    again = self._run_times.pop((message.hold.hold_id, "again"), None)
-                    if again:
-                        self.at(self.now, *again)
+                    resubmission = self._run_times.pop((message.hold.hold_id, "again"), None)
+                    if resubmission:
+                        self.call_at(self.now, *resubmission)
 
-    def _placed(self, number, item, end):
+    def _note_placed(self, number, item, end):
         customer, arrived = self._arrived.pop(item)
-        histogram = self.waits.setdefault(customer, HdrHistogram(1, _LONGEST_US, 3))
+        histogram = self.waits.setdefault(customer, HdrHistogram(1, _MAX_WAIT_US, 3))
         histogram.record_value(max(1, int((self.now - arrived) * 1e6)))
         run_time = self._run_times.pop(item)
         self.busy_slot_s += run_time
         self.n_placed += 1
-        self.at(self.now + run_time, self._ended, number, end, item)
+        self.call_at(self.now + run_time, self._end, number, end, item)
 
-    def _ended(self, number, end, item):
-        self._take(number, end(item, self.now))
+    def _end(self, number, end, item):
+        self._handle(number, end(item, self.now))
 
 
 def make_owner_scheduler():
-    """Return the product's book."""
+    """Return a scheduler of one owner, as anvilflow uses it."""
     return OwnerScheduler(reserve=0.25)
