--- a/benchmarks/sample_daemon.py
+++ b/benchmarks/sample_daemon.py
@@ -1,4 +1,4 @@
-"""Print what a daemon spent over a while, as one line of JSON."""
+"""Print the resource use of a daemon over a period as one line of JSON."""
 
 import json
 import os
@@ -8,27 +8,27 @@
 
 import fire
 
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
-def cpu_seconds(pid):
-    """Return the processor time of a process."""
+def read_cpu_s(pid):
+    """Return the processor time that a process has used. Unit: seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def memory_mb(pid):
-    """Return the resident memory of a process."""
+def read_memory_mb(pid):
+    """Return the resident memory of a process. Unit: MiB."""
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
     return 0.0
 
 
-def traffic(operators):
-    """Return calls, bytes, peer messages, table records and tasks, from the dump."""
-    with urllib.request.urlopen(f"http://{operators}/dump", timeout=10) as answer:
-        dump = json.load(answer)
+def read_counters(operators):
+    """Return the counters of calls, bytes and store use in a daemon's dump, and its tasks."""
+    with urllib.request.urlopen(f"http://{operators}/dump", timeout=10) as response:
+        dump = json.load(response)
     links = dump["parts"]["peers"].values()
     return {
         "http_calls": sum(item["calls"] for item in dump["http"].values()),
@@ -41,13 +41,13 @@
 
 
 def main(pid, name, value, operators, seconds=10.0):
-    """Sample."""
-    before, _ = traffic(operators)
-    cpu, began = cpu_seconds(pid), time.monotonic()
+    """Sample a daemon for `seconds`; print processor use, memory and the rate of each counter."""
+    before, _ = read_counters(operators)
+    cpu_before, began = read_cpu_s(pid), time.monotonic()
     time.sleep(seconds)
-    spent, elapsed = cpu_seconds(pid) - cpu, time.monotonic() - began
-    after, n_tasks = traffic(operators)
-    row = {"name": name, "value": value, "cpu": spent / elapsed, "memory_mb": memory_mb(pid)}
+    cpu_s, elapsed = read_cpu_s(pid) - cpu_before, time.monotonic() - began
+    after, n_tasks = read_counters(operators)
+    row = {"name": name, "value": value, "cpu": cpu_s / elapsed, "memory_mb": read_memory_mb(pid)}
     row |= {f"{key}_s": (after[key] - before[key]) / elapsed for key in after}
     row["tasks"] = n_tasks
     print(json.dumps({key: round(item, 5) if key != "name" else item for key, item in row.items()}))
--- a/benchmarks/standins_process.py
+++ b/benchmarks/standins_process.py
@@ -1,7 +1,8 @@
-"""The platform and workers of a cell as one process, with load, for daemons that run beside it.
+"""Stand-ins for the platform and workers of a cell in one process, for daemons in other processes.
 
-Writes the daemons' settings files, lists them, and once they are ready keeps tasks running or
-starts tasks at a rate. `make idle` and `make processes` start it; it ends when it is told to.
+The process writes the settings files of the daemons, lists the daemons as members and generates
+load once they are ready: batches of long tasks, tasks at a rate, or requests and jobs whose history
+is checked. `make idle` and `make processes` start it. Without `load_s` it runs until it is killed.
 """
 
 import sys
@@ -21,7 +22,8 @@
 
 HOST = "127.0.0.1"
 
-#: Time until the daemons are ready, and after the load until everything must have ended.
+#: Time until the daemons are ready, and time from the end of the load until all jobs must have
+#: ended. Unit: seconds.
 READY_S = 8
 SETTLE_S = 25
 
@@ -36,8 +38,8 @@
 """
 
 
-class Process:
-    """Stand-ins for daemons in other processes."""
+class StandInProcess:
+    """Stand-ins and load for daemons in other processes."""
 
     def __init__(self, *, folder, n_instances, n_workers, n_customers, base_port, slots):
         self.folder = Path(folder)
@@ -61,7 +63,7 @@
         self.outcomes = {}
 
     def start(self):
-        """Start the stand-ins and write the settings of the daemons."""
+        """Start the stand-ins, write the settings of the daemons and list these as members."""
         self.cell.start_standins()
         self.folder.mkdir(parents=True, exist_ok=True)
         for number in range(1, self.n_instances + 1):
@@ -89,11 +91,11 @@
         self.cell.membership.settle()
 
     def port(self, number, kind):
-        """Return a port of a daemon: 0 callers, 1 operators, 2 peers."""
+        """Return the port of a daemon for callers (`kind` 0), operators (1) or peers (2)."""
         return self.base_port + 10 * number + kind
 
     async def submit(self, n_tasks, seconds):
-        """Submit a batch, until it is taken."""
+        """Submit a batch of tasks, and retry until an instance accepts it."""
         self.n_submitted += 1
         tasks = [encode({"seconds": seconds}).decode() for _ in range(n_tasks)]
         call = {
@@ -105,16 +107,19 @@
         while True:
             try:
                 url = f"http://{HOST}:{self.port(1, 0)}/v1/jobs"
-                status, answer = await self.http.post_json(url, call, timeout=5)
+                status, response = await self.http.post_json(url, call, timeout=5)
                 if status in (200, 201):
                     return
-                print(status, answer[:200], file=sys.stderr)
+                print(status, response[:200], file=sys.stderr)
             except Exception as exc:
                 print(repr(exc), file=sys.stderr)
             await deferLater(reactor, 0.5, lambda: None)
 
     async def request(self):
-        """Send a request to an instance in turn; a connection that breaks is answered unknown."""
+        """Send a request to the next instance, round robin.
+
+        If the connection breaks, the outcome is recorded as unknown.
+        """
         self.n_sent += 1
         number = 1 + self.n_sent % self.n_instances
         token = f"t{self.n_sent}"
@@ -131,25 +136,25 @@
         try:
             url = f"http://{HOST}:{self.port(number, 0)}/v1/requests"
             _, body = await self.http.post_json(url, call, timeout=5)
-            answer = decode_lenient(body)
-            outcome = answer.get("outcome", Outcome.NOT_RUN.value)
+            response = decode_lenient(body)
+            outcome = response.get("outcome", Outcome.NOT_RUN.value)
             if outcome == Outcome.COMPLETED:
-                echoed = decode_lenient(answer["result"])["token"]
+                echoed = decode_lenient(response["result"])["token"]
         except Exception as exc:
             outcome = "refused" if "Refused" in repr(exc) else outcome
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
         self.history.add(Answered, token=token, outcome=outcome, echoed=echoed)
 
-    def judge(self):
-        """Print the verdicts on the history; return whether every promise held."""
+    def check_load(self):
+        """Print the verdicts; return whether all invariants held and all jobs are completed."""
         verdicts = check_history(self.history.events, instances=[])
         print(f"requests by outcome: {self.outcomes}; jobs submitted: {self.n_submitted}")
         rows = [
             row for key, row in self.cell.table.rows.items() if key.startswith("config/item/Job")
         ]
         phases = [value["value"]["phase"] for _, value in rows]
-        counts = {phase: phases.count(phase) for phase in sorted(set(phases))}
-        print(f"jobs by phase: {counts}")
+        n_by_phase = {phase: phases.count(phase) for phase in sorted(set(phases))}
+        print(f"jobs by phase: {n_by_phase}")
         for verdict in verdicts:
             line = f"{verdict.status_text:11} {verdict.promise} ({verdict.n_checked} checked)"
             print(line, verdict.broken[:2])
@@ -167,8 +172,8 @@
     base_port=21000,
     load_s=0,
 ):
-    """Run the stand-ins until killed; with `load_s`, send load so long, judge it and exit."""
-    process = Process(
+    """Run the stand-ins until killed; with `load_s`, send load for that time, check it and exit."""
+    process = StandInProcess(
         folder=folder,
         n_instances=instances,
         n_workers=workers,
@@ -182,26 +187,26 @@
         for _ in range(running // 200):
             reactor.callLater(4.0, lambda: ensureDeferred(process.submit(200, 600.0)))
         if rate:
-            loop = LoopingCall(lambda: ensureDeferred(process.submit(int(rate), 0.2)))
-            reactor.callLater(4.0, loop.start, 1.0)
+            submissions = LoopingCall(lambda: ensureDeferred(process.submit(int(rate), 0.2)))
+            reactor.callLater(4.0, submissions.start, 1.0)
 
-    held = []
+    results = []
 
-    def load():
+    def send_load():
         requests = LoopingCall(lambda: ensureDeferred(process.request()))
         jobs = LoopingCall(lambda: ensureDeferred(process.submit(12, 1.5)))
         requests.start(1 / 50)
         jobs.start(1.0)
         reactor.callLater(load_s, requests.stop)
         reactor.callLater(load_s, jobs.stop)
-        reactor.callLater(load_s + SETTLE_S, lambda: held.append(process.judge()))
+        reactor.callLater(load_s + SETTLE_S, lambda: results.append(process.check_load()))
         reactor.callLater(load_s + SETTLE_S + 0.1, reactor.stop)
 
     reactor.callWhenRunning(begin)
     if load_s:
-        reactor.callLater(READY_S, load)
+        reactor.callLater(READY_S, send_load)
     reactor.run()
-    sys.exit(0 if not held or held[0] else 1)
+    sys.exit(0 if not results or results[0] else 1)
 
 
 if __name__ == "__main__":
--- a/deploy/make_lock.py
+++ b/deploy/make_lock.py
@@ -1,9 +1,9 @@
-"""Writes deploy/requirements.lock: the part of requirements.lock that the cell needs to run."""
+"""Write deploy/requirements.lock: the part of requirements.lock that the cell needs at run time."""
 
 import re
 from pathlib import Path
 
-#: What the cell imports, and what these need in turn.
+#: Packages that the cell imports, and their dependencies.
 NEEDED = (
     *("attrs", "automat", "constantly", "hdrhistogram", "httptools", "hyperlink", "idna"),
     "incremental",
@@ -12,15 +12,15 @@
     *("zope-interface", "setuptools"),
 )
 
-#: A pinned package and the lines of hashes that belong to it.
-_BLOCK = r"^([a-z0-9-]+)(?:\[[a-z,]+\])?==.*\n(?:[ \t].*\n)*"
+#: Pattern of a pinned package with its lines of hashes.
+_ENTRY = r"^([a-z0-9-]+)(?:\[[a-z,]+\])?==.*\n(?:[ \t].*\n)*"
 
 
 def main():
-    """Copy the blocks of the needed packages."""
+    """Copy the entries of the needed packages to the lock file."""
     text = Path("requirements.lock").read_text(encoding="utf-8")
-    whole = re.finditer(_BLOCK, text, flags=re.MULTILINE)
-    kept = [match.group(0) for match in whole if match.group(1) in NEEDED]
+    entries = re.finditer(_ENTRY, text, flags=re.MULTILINE)
+    kept = [match.group(0) for match in entries if match.group(1) in NEEDED]
     Path("deploy/requirements.lock").write_text("".join(kept), encoding="utf-8")
 
 
