--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands do everything on a fresh machine: `make demo` and `make test`.
+# `make demo` and `make test` work on a fresh machine without further preparation.
 PYTHON ?= python3
 VENV := .venv
 BIN := $(VENV)/bin
@@ -17,7 +17,7 @@
 demo: $(STAMP)
 	$(BIN)/anvilflow demo
 
-# Tests of known faults are listed in KNOWN-RED.txt: printed, and passed over.
+# Tests that fail because of known faults are listed in KNOWN-RED.txt; they are printed and deselected.
 test: $(STAMP)
 	@echo "Known red, passed over:"; cat KNOWN-RED.txt
 	$(BIN)/python -m pytest $$(sed -n 's/^\(\(anvilflow\|soak\)[^ ]*\) .*/--deselect=\1/p' KNOWN-RED.txt)
@@ -31,7 +31,7 @@
 	-$(BIN)/ruff check --fix --quiet anvilflow benchmarks deploy soak
 	$(BIN)/black --quiet anvilflow benchmarks deploy soak
 
-# 1,000 seeds, several processes at once; some six minutes on eight cores.
+# 1,000 seeds in parallel processes; takes about six minutes on eight cores.
 CHAOS_SEEDS ?= 1000
 CHAOS_SHARE := 25
 chaos: $(STAMP)
@@ -40,49 +40,51 @@
 		$(BIN)/python -m anvilflow.chaos run --first {} --seeds $(CHAOS_SHARE) --out out/chaos/{}.json
 	$(BIN)/python -m anvilflow.chaos total out/chaos/*.json
 
-# Real processes under random faults, some 30 s a seed: make soak SOAK_FIRST=1 SOAK_SEEDS=50. Without
-# SOAK_FIRST the seeds are fresh ones. A broken seed's logs stay under out/soak.
+# Real processes under random faults, about 30 s per seed: make soak SOAK_FIRST=1 SOAK_SEEDS=50. Without
+# SOAK_FIRST, new seeds are used. The logs of failed seeds are kept under out/soak.
 SOAK_SEEDS ?= 8
 SOAK_JOBS ?= 4
 soak: $(STAMP)
 	$(BIN)/python -m soak many $(if $(SOAK_FIRST),--first $(SOAK_FIRST)) --seeds $(SOAK_SEEDS) --jobs $(SOAK_JOBS)
 
-# Every seed that ever failed, from soak/seeds.txt.
+# All seeds that have ever failed, from soak/seeds.txt.
 soak-regressions: $(STAMP)
 	$(BIN)/python -m soak regressions --jobs $(SOAK_JOBS)
 
-# The cell on stand-ins of the users' platform: half a minute.
+# The cell on stand-ins for the users' platform; takes half a minute.
 bench-cell: $(STAMP)
 	$(BIN)/python benchmarks/bench_cell.py
 
-# Equal small instances on narrow links: starts a second, bytes and processor at the home, take-overs.
+# Equal small instances on slow links: starts per second, bytes and processor time of the leader, and
+# take-over times.
 bench-narrow: $(STAMP)
 	$(BIN)/python benchmarks/bench_narrow.py $(SIZES)
 
-# Days of our own on a site of the users' kit: make days KIT=path/to/kit/program SITE=path/to/site
+# Own scenarios on a site of the users' kit: make days KIT=path/to/kit/program SITE=path/to/site
 days:
 	for day in deploy/days/*.toml; do $(KIT) run $(SITE) $$day --why "own days" || exit 1; done
 
-# What each mechanism of the scheduler is worth on played loads: some minutes. On days of a site:
-# make ablation ABLATION="--kit path/to/kit/program --site path/to/site"
+# Effect of each mechanism of the scheduler on simulated loads; takes a few minutes. On scenarios of a
+# site: make ablation ABLATION="--kit path/to/kit/program --site path/to/site"
 ablation: $(STAMP)
 	$(BIN)/python benchmarks/ablation.py $(ABLATION)
 
-# A plan and a look round at three sizes.
+# Time of a plan and of a periodic check at three sizes of a cell.
 bench-scheduler: $(STAMP)
 	$(BIN)/python benchmarks/bench_scheduler.py
 
 bench-decisions: $(STAMP)
 	$(BIN)/python benchmarks/bench_decisions.py
 
-# 100,000 steps of the stateful fuzzing; CI runs 2,400.
+# 100,000 steps of stateful fuzzing; CI runs 2,400.
 fuzz: $(STAMP)
 	ANVILFLOW_FUZZ_EXAMPLES=1700 $(BIN)/python -m pytest anvilflow/decisions/tests/test_oracle.py
 
 reference: $(STAMP)
 	$(BIN)/python -m anvilflow.reference pages docs/operators
 
-# Real processes under load, with SIGKILL, SIGSTOP for longer than a lease, SIGTERM: two minutes.
+# Real processes under load, with SIGKILL, SIGSTOP for longer than a lease, and SIGTERM; takes two
+# minutes.
 processes: $(STAMP)
 	benchmarks/processes.sh
 
@@ -95,7 +97,7 @@
 bench-path: $(STAMP)
 	$(BIN)/python benchmarks/bench_path.py
 
-# Both need tools that the build itself does without.
+# `lock` and `thrift` need tools that the build itself does not use.
 lock:
 	pip-compile --quiet --extra dev --no-emit-index-url --no-emit-trusted-host --no-emit-find-links \
 		--no-header --strip-extras --allow-unsafe --generate-hashes -o requirements.lock pyproject.toml
--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -49,11 +49,11 @@
 def parse_args():
     """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    parser.add_argument("--seeds", type=int, default=24, help="simulations per load and mechanism")
-    parser.add_argument("--kit", help="program that runs the scenarios of a site")
-    parser.add_argument("--site", action="append", default=[], help="site file; may be repeated")
-    parser.add_argument("--pairs", type=int, default=10, help="scenarios per site and mechanism")
-    parser.add_argument("--jobs", type=int, default=4, help="number of parallel runs")
+    parser.add_argument("--seeds", type=int, default=24, help="plays of a load and mechanism")
+    parser.add_argument("--kit", help="the program that plays days")
+    parser.add_argument("--site", action="append", default=[], help="a site file")
+    parser.add_argument("--pairs", type=int, default=10, help="days a site and mechanism")
+    parser.add_argument("--jobs", type=int, default=4, help="plays at once")
     parser.add_argument("--only", action="append", help="mechanisms; default: all")
     return parser.parse_args()
 
@@ -92,7 +92,7 @@
         return list(pool.map(run, range(args.pairs)))
 
 
-def simulate_load(args, load, _, policy):
+def run_simulations(args, load, _, policy):
     """Return the share of the total worth that callers received, for each seed."""
     run = partial(simulate_load, load, SchedulingPolicy(**policy))
     with ProcessPoolExecutor(args.jobs) as pool:
@@ -111,7 +111,7 @@
     """Print the table of one load or site."""
     worths = measure(args, where, "none", {})
     print(f"{title}: {mean(each for each in worths if each is not None):.4f} with all")
-    print("| without | difference | standard error | runs |\n|---|---|---|---|")
+    print("| without | difference | standard error | plays |\n|---|---|---|---|")
     for name, policy in SWITCHES.items():
         if not args.only or name in args.only:
             print_row(name, worths, measure(args, where, name, policy))
@@ -122,7 +122,7 @@
     args = parse_args()
     if args.kit is None:
         for load in LOADS:
-            print_table(args, simulate_load, load, load)
+            print_table(args, run_simulations, load, load)
         return
     args.kit = str(Path(args.kit).resolve())
     for site in args.site:
--- a/benchmarks/bench_narrow.py
+++ b/benchmarks/bench_narrow.py
@@ -111,13 +111,13 @@
     seconds = BACKLOG_S - MEASURED_FROM_S
     print(
         f"{n_instances:>3} instances: {n_starts / seconds:6.1f} of {N_TASKS * jobs_per_s} starts/s;"
-        f" a start at the leader: {(after.sent - before.sent) / n_starts:5.0f} bytes out,"
+        f" a start at the home: {(after.sent - before.sent) / n_starts:5.0f} bytes out,"
         f" {(after.received - before.received) / n_starts:5.0f} in,"
         f" {(after.n_calls - before.n_calls) / n_starts:.2f} calls,"
         f" {1000 * (after.cpu_s - before.cpu_s) / n_starts:.3f} ms;"
         f" at all others: {(after.others_sent - before.others_sent) / n_starts:5.0f} bytes out,"
         f" {1000 * (after.others_cpu_s - before.others_cpu_s) / n_starts:.3f} ms"
-        f"{'' if before.leader == after.leader else '; the leader changed'}"
+        f"{'' if before.leader == after.leader else '; the home changed'}"
         f"; broken: {len(cell.check())}"
     )
 
@@ -165,9 +165,9 @@
         for jobs_per_s in SUBMITTED_JOBS_PER_S:
             _bench_backlog(size, jobs_per_s)
         if size > 1:
-            _bench_leader_end(size, lambda cell, name: cell.kill(name), "the leader's loss")
+            _bench_leader_end(size, lambda cell, name: cell.kill(name), "the home's loss")
             _bench_leader_end(
-                size, lambda cell, name: cell.daemons[name].drain(), "the leader's SIGTERM"
+                size, lambda cell, name: cell.daemons[name].drain(), "the home's SIGTERM"
             )
 
 
--- a/benchmarks/bench_path.py
+++ b/benchmarks/bench_path.py
@@ -83,7 +83,7 @@
     calls = {
         "bare treq": post_with_treq,
         "bare, our client": post_with_client,
-        "through gateway": post_through_gateway,
+        "through entry": post_through_gateway,
     }
     for call in calls.values():
         await measure(n_requests // 4, call)
@@ -103,7 +103,7 @@
         print(f"{name:18} {min(values):8.0f} {statistics.median(values):9.0f}")
     reached = True
     for name in ("bare treq", "bare, our client"):
-        pairs = zip(rates["through gateway"], rates[name], strict=True)
+        pairs = zip(rates["through entry"], rates[name], strict=True)
         ratios = [through_gateway / bare for through_gateway, bare in pairs]
         median = statistics.median(ratios)
         word = "reached" if median >= TARGET else "short"
--- a/benchmarks/bench_scheduler.py
+++ b/benchmarks/bench_scheduler.py
@@ -113,7 +113,7 @@
         plan_ms = measure(lambda _, scheduler=scheduler: scheduler.plan(1.0, 1.0))
         check_ms = measure(lambda number, scheduler=scheduler: scheduler.plan(2.0 + number, 2.0))
         print(
-            f"{n_workers} workers, {n_tasks} tasks: plan {plan_ms:.3f} ms, check {check_ms:.3f} ms"
+            f"{n_workers} workers, {n_tasks} tasks: plan {plan_ms:.3f} ms, look {check_ms:.3f} ms"
         )
         scheduler = make_busy_scheduler(n_workers, n_tasks)
         add_waiting_jobs(scheduler, N_WAITING)
--- a/benchmarks/idle.sh
+++ b/benchmarks/idle.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# What idle daemons spend: nine instances and 24 workers as plain processes. Usage: idle.sh SECONDS
+# Measures the resource use of idle daemons: nine instances as plain processes, 24 stand-in workers.
+# Usage: idle.sh SECONDS
 set -euo pipefail
 . benchmarks/wait.sh
 seconds=${1:-60}
--- a/benchmarks/processes.sh
+++ b/benchmarks/processes.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Nine daemons as plain processes under load: one killed, one stopped for longer than every lease and
-# continued, one drained, and the killed one started again. Exits with 1 when a promise was broken.
+# Runs nine daemons as plain processes under load. One is killed and later restarted, one is stopped
+# for longer than every lease and continued, one is drained. Exits with 1 if an invariant is violated.
 set -euo pipefail
 . benchmarks/wait.sh
 bin=.venv/bin
@@ -37,6 +37,6 @@
 kill -TERM "${pids[4]}"
 wait_for_end "${pids[4]}" 60
 wait "${pids[4]}" && echo "a4 ended with status 0"
-# The judge plays 60 s of load and then lets everything end, which took it 60 s more at the most.
+# The stand-ins send load for 60 s and then let all jobs end, which took at most another 60 s.
 wait_for_end $judge 180
 wait $judge
--- a/benchmarks/wait.sh
+++ b/benchmarks/wait.sh
@@ -1,7 +1,7 @@
-# Sourced by the scripts here: no wait is without a limit.
+# Functions that wait with a time limit. The scripts in this folder source this file.
 
-# Wait until FILE is there; fail when the process PID died or 30 s have passed. The stand-ins write
-# their settings within 2 s on an idle machine.
+# Waits until FILE exists; fails if the process PID has ended or 30 s have passed. On an idle machine
+# the stand-ins write their settings within 2 s.
 wait_for_file() { # FILE PID
     local deadline=$((SECONDS + 30))
     while [ ! -f "$1" ]; do
@@ -11,7 +11,7 @@
     done
 }
 
-# Wait until the process PID has ended; fail when it has not after SECONDS.
+# Waits until the process PID has ended; fails if it still runs after SECONDS.
 wait_for_end() { # PID SECONDS
     local deadline=$((SECONDS + $2))
     while kill -0 "$1" 2> /dev/null; do
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,4 +1,4 @@
-# Installs what the cell needs at run time into target/deps, pinned by hash.
+# Installs the run-time dependencies of the cell into target/deps, pinned by hash.
 set -eu
 [ target/deps/.done -nt deploy/requirements.lock ] && exit 0
 rm -rf target/deps
