--- a/anvilflow/cell/_gateway.py
+++ b/anvilflow/cell/_gateway.py
@@ -177,13 +177,13 @@
         value = JobRow(spec=spec, queue=queue, config_version=self.config.version, entry=gateway)
         if len(encode(value)) > MAX_ROW_BYTES:
             # The store refuses such a row every time. If that refusal counted as a write of unknown
-            # outcome, the client would be told to send the job again, and this instance would count
-            # the store as unavailable each time.
+            # outcome, the client would be asked to send the job again, and this instance would
+            # count the store as unavailable each time.
             raise TooLargeError(f"the job's row exceeds {MAX_ROW_BYTES} bytes")
         job_id = spec.job_id
         yield self._refuse_if_late(spec, queue)
         in_doubt = False
-        # No write is tried in an outage: it would get no answer, and its client would not know
+        # No write is tried in an outage: it would get no answer, and its client could not determine
         # whether the job is stored. A probe detects within 0.15 s that the store answers again.
         # When one client's request a second served as the probe, every second request waited 0.9 s.
         if not self.context.store_health.is_failing:
--- a/anvilflow/cell/_leader.py
+++ b/anvilflow/cell/_leader.py
@@ -31,8 +31,8 @@
 from ._relay_dispatcher import RelayDispatcher
 from ._tables import JOBS
 
-#: Longest time between two plans, so that actions that become due by the passing of time alone are
-#: found. A plan with nothing to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
+#: Longest time between two plans, because some actions become due by the passing of time alone. A
+#: plan with nothing to do takes 0.03 ms at 14,000 running tasks. Unit: seconds.
 PLAN_PERIOD_S = 0.05
 
 #: Time for which a leader that is short of link or processor collects changes for one plan. Unit:
@@ -59,7 +59,11 @@
 
 
 class LeaderPart(Part):
-    """Part of every instance: idle until this instance claims, the leader until it is deposed."""
+    """The leader's work; a part of every instance that is active only while the instance leads.
+
+    It is idle until this instance has claimed the leader's row, and ends when the instance is
+    deposed.
+    """
 
     prefix = "home"
 
@@ -95,9 +99,9 @@
     def stop(self):
         """Stop acting as the leader.
 
-        A part that is restarted after a fault has lost the state of its leadership. The event
-        posted here makes this instance search for the leader again; without it the instance would
-        wait for itself as the leader forever.
+        A part that is restarted after a fault has lost the state of its leadership, while the
+        instance still counts as the leader. The event posted here makes the instance search for
+        the leader again; without it the instance would treat itself as the leader forever.
         """
         was_leader = self._claimed is not None
         self._end()
@@ -152,7 +156,7 @@
 
     @inlineCallbacks
     def _load(self, claimed):
-        """Read the stored state, then contact the workers; tasks start only after that."""
+        """Read the stored state and begin to lead; tasks start once workers have responded."""
         claimed_at = self.now
         state = yield self._read_tables(claimed)
         if self._claimed is not claimed:
@@ -244,7 +248,7 @@
         return self._garbage_collector.sweep() if self._garbage_collector is not None else None
 
     def deposed(self):
-        """Announce in this instance that another leader has begun."""
+        """Post the event, within this instance, that the instance is no longer the leader."""
         self.post(Deposed())
 
     def _end(self):
@@ -281,7 +285,7 @@
     # Reports to the other instances
 
     def measure_load(self):
-        """Measure the leader's load: while short of link or processor, the leader uses relays."""
+        """Measure the leader's load, which decides whether the leader uses relays."""
         if self._relay_dispatcher is not None:
             self._relay_dispatcher.measure()
             self.context.uses_relays = self._relay_dispatcher.relays_in_use
@@ -304,7 +308,7 @@
 
     @property
     def term(self):
-        """Number of leaders so far, this one included; 0 if this instance is not the leader."""
+        """Number of claims in the cell so far, this one included; 0 if not the leader."""
         return self._claimed.term if self._claimed else 0
 
     @property
@@ -418,7 +422,7 @@
             self._plan()
 
     def act(self, actions):
-        """Carry out actions of the scheduler."""
+        """Carry out actions that the scheduler has returned."""
         if self._fleet is None:
             return
         for action in actions:
@@ -484,7 +488,8 @@
     # Records
 
     def _recorded(self, ended):
-        # Workers that the leader's row no longer names get tasks again.
+        # A worker that the row of the former leader named gets tasks again once the leader's row,
+        # as recorded now, does not name it any more.
         self.changed()
         self._fleet.resume_renewals()
         for job in ended:
--- a/anvilflow/cell/_leadership.py
+++ b/anvilflow/cell/_leadership.py
@@ -22,17 +22,17 @@
 #: second. Unit: seconds.
 UNRESPONSIVE_S = 0.5
 
-#: Multiple of the leader's reported lag by which its next heartbeat may be late. Without this
-#: allowance a leader with an eighth of a core fell behind in a burst and was replaced, and so was
-#: each leader after it.
+#: Multiple of the leader's reported lag (the delay of its periodic calls, see `_lag`) by which its
+#: next heartbeat may be late. Without this allowance a leader with an eighth of a core fell behind
+#: in a burst and was replaced, and so was each leader after it.
 LAG_ALLOWANCE_FACTOR = 3
 
 #: Least time for which the leader's row has to stay unchanged before its holder counts as no longer
 #: writing: twice the period of the leader's writes. Unit: seconds.
 MIN_UNCHANGED_S = 0.3
 
-#: The same time as a multiple of the duration of a read of the row: where the store is slow, the
-#: leader's writes are slower, too.
+#: The same least time as a multiple of the duration of a read of the row; the longer of the two
+#: applies. Where the store is slow, the leader's writes are slower, too.
 MIN_UNCHANGED_READS = 3
 
 #: Maximum number of doublings of the time for which the row may stay unchanged: one for each
@@ -45,34 +45,35 @@
 #: before the next one begins: a claim takes one call of some 5 ms. Unit: seconds.
 RANK_STEP_S = 0.06
 
-#: The same delay as a multiple of the duration of a read of the row: where the store is slow, a
-#: claim takes as long as two reads, and simultaneous claims of all instances would overload the
-#: part of the store that the leader itself writes to.
+#: The same delay as a multiple of the duration of a read of the row; the longer of the two applies.
+#: Where the store is slow, a claim takes as long as two reads, and simultaneous claims of all
+#: instances would overload the part of the store that the leader itself writes to.
 RANK_STEP_READS = 2
 
-#: Additional delay of a claim by an instance that is not eligible to lead and not a known
-#: successor, as after a restart of all instances. The start times of the instances differ by a few
-#: tenths of a second, also where the store is slow. Unit: seconds.
+#: Additional delay of a claim by an instance that is too small to lead (see `_leader_eligibility`)
+#: and not a known successor, as after a restart of all instances. The start times of the instances
+#: differ by a few tenths of a second, also where the store is slow; the delay leaves an eligible
+#: instance that starts later time to claim first. Unit: seconds.
 INELIGIBLE_DELAY_S = 0.48
 
-#: Rank steps added to that delay: where the store is slow, the claims of the other instances take
-#: longer. With ten steps callers waited for 11 s where all links were slow and each answer of the
-#: store took 0.4 s.
+#: Rank steps added to `INELIGIBLE_DELAY_S`: where the store is slow, the claims of the other
+#: instances take longer. With ten steps callers waited for 11 s where all links were slow and each
+#: answer of the store took 0.4 s.
 INELIGIBLE_DELAY_STEPS = 2
 
-#: Timeout of a claim, as a multiple of the duration of a read of the row, and the least timeout.
-#: Unit of the latter: seconds.
+#: Timeout of a claim as a multiple of the duration of a read of the row, and the least timeout of a
+#: claim. Unit of `CLAIM_TIMEOUT_S`: seconds.
 CLAIM_TIMEOUT_READS = 6
 CLAIM_TIMEOUT_S = 0.8
 
-#: Maximum number of consecutive attempts to claim from a leader that yields. Such a leader records
-#: ends of tasks until it is deposed, and each record between the read of its row and the claim
-#: causes the claim to be refused. Without further attempts the leader was not deposed for 3.6 s in
-#: a rolling restart, until it stopped.
+#: Maximum number of consecutive attempts to claim from a leader that yields, that is, asks to be
+#: replaced. Such a leader records ends of tasks until it is deposed. Each record changes its row,
+#: so that a claim is refused if it is based on an earlier read of the row. Without further attempts
+#: the leader was not deposed for 3.6 s in a rolling restart, until it stopped.
 MAX_CLAIM_ATTEMPTS = 8
 
-#: Remaining waits shorter than this count as over: the clock cannot distinguish them from zero.
-#: Unit: seconds.
+#: Tolerance of the comparison of two times: a shorter wait counts as over, because the clock cannot
+#: distinguish it from zero. Unit: seconds.
 _CLOCK_TOLERANCE_S = 1e-4
 
 #: Maximum timeout of a connection to the leader. The timeout doubles with each failed attempt,
@@ -88,9 +89,11 @@
 
     Safety rests on the row and on the workers: every write of the leader is conditional on the row
     being as the leader last wrote it, and every worker refuses commands with a token lower than one
-    it has seen. The decision to claim may therefore be wrong: a needless claim costs a take-over
-    and no more. Two instances that cannot reach each other would depose each other in turn;
-    therefore a leader that is unreachable but continues to write its row is not replaced.
+    it has received. A leader's token is the version of the row that its claim wrote. The decision
+    to claim may therefore be wrong: a needless claim costs a take-over and no more.
+
+    Two instances that cannot reach each other would depose each other in turn; therefore a leader
+    that is unreachable but continues to write its row is not replaced.
     """
 
     prefix = "leadership"
@@ -102,8 +105,8 @@
         self._newest_row_version = 0
         self.is_leader = False
         self._successor_addresses = ()
-        self._yielding = False
-        self._heartbeat_at = 0.0
+        self._leader_yields = False
+        self._last_heartbeat_at = 0.0
         self._lag_allowance_s = 0.0
         self._is_checking = False
         self._read_duration_s = 0.0
@@ -119,13 +122,13 @@
     # Messages and events
 
     def _heartbeat(self, source, heartbeat):
-        self._heartbeat_at = self.now
+        self._last_heartbeat_at = self.now
         self._lag_allowance_s = LAG_ALLOWANCE_FACTOR * (heartbeat.lag_ms or 0) / 1000
         self.context.successors = tuple(heartbeat.successors)
         self._successor_addresses = tuple(heartbeat.addresses or ())
-        if heartbeat.yielding and not self._yielding:
+        if heartbeat.yielding and not self._leader_yields:
             self.log.info("home yields", home=source, term=heartbeat.term)
-        self._yielding = heartbeat.yielding
+        self._leader_yields = heartbeat.yielding
         self.context.uses_relays = bool(heartbeat.carried)
         if heartbeat.waiting is not None:
             pending_counts = PendingCounts(
@@ -153,8 +156,12 @@
         if self.is_leader or self._is_checking or self.context.leaving:
             return
         is_linked = self.context.links is not None and self.context.links.leader_link is not None
-        elapsed_s = self.now - self._heartbeat_at
-        if is_linked and elapsed_s < UNRESPONSIVE_S + self._lag_allowance_s and not self._yielding:
+        elapsed_s = self.now - self._last_heartbeat_at
+        if (
+            is_linked
+            and elapsed_s < UNRESPONSIVE_S + self._lag_allowance_s
+            and not self._leader_yields
+        ):
             return
         self._is_checking = True
         done = self._check_leader(is_linked)
@@ -179,16 +186,16 @@
             if not (yield self._ask_successors()):
                 yield self._sleep(jitter(self.context.random_state, RETRY_S))
             return
-        if self.row is None or (self._yielding and not changed):
+        if self.row is None or (self._leader_yields and not changed):
             yield self._claim_in_turn("no home" if self.row is None else "home yields")
             return
-        # An open connection without heartbeats already shows what a new one would show only after
-        # its timeout.
+        # An open connection without heartbeats already shows that the leader is unresponsive. A new
+        # connection would show it only after its timeout.
         yield self._watch_row(None if is_linked and not changed else PendingResult(self._dial()))
 
     @inlineCallbacks
     def _ask_successors(self):
-        """Search for a leader among the successors of the last one; return whether one was found.
+        """Ask the former leader's successors for the new leader; return whether one was found.
 
         An instance that is cut off only from the store cannot read which instance is the leader.
         Without this request it refused all jobs after a change of leader for as long as it was cut
@@ -218,13 +225,13 @@
     def _follow(self, link, term):
         self._dial_timeout_s = DIAL_TIMEOUT_S
         self.context.links.follow_leader(link)
-        self._heartbeat_at = self.now
-        self._yielding = False
+        self._last_heartbeat_at = self.now
+        self._leader_yields = False
         self.log.info("home found", home=link.peer.instance, term=term)
         self.post(LeaderChanged())
 
     def _rank(self):
-        """Return this instance's rank among the successors, a random one if it is not known."""
+        """Return this instance's rank among the successors; a random one if it is not listed."""
         name = self.context.name
         if name in self.context.successors:
             return self.context.successors.index(name)
@@ -232,7 +239,7 @@
 
     @property
     def _should_defer(self):
-        """Whether instances that are eligible to lead should claim first.
+        """Whether this instance should let instances that are eligible to lead claim first.
 
         A known successor does not defer: its rank already takes eligibility into account.
         """
@@ -269,11 +276,12 @@
         found = next((row for row in rows if row.key == LEADER_KEY), None)
         self.row = decode(found.value, LeaderRow, error=PlatformError) if found else None
         self.row_version = found.version if found else 0
-        # A leader that loads its tables does not write its own row yet, but the loading row.
+        # A leader that still loads its tables does not rewrite the leader's row. It shows that it
+        # is active by writing the loading row, which is part of the same read.
         self._newest_row_version = max((row.version for row in rows), default=0)
         changed = self.row is not None and self.row.incarnation != before
         if changed:
-            self._yielding = False
+            self._leader_yields = False
             self._lag_allowance_s = 0.0
             self.context.successors = ()
         return changed
@@ -296,8 +304,8 @@
                 "connection to the leader failed", home=row.holder, error=type(exc).__name__
             )
             return "not reached"
-        known = self.row.incarnation if self.row is not None else None
-        if link.peer.incarnation != row.incarnation or known != row.incarnation:
+        known_incarnation = self.row.incarnation if self.row is not None else None
+        if link.peer.incarnation != row.incarnation or known_incarnation != row.incarnation:
             link.abort()
             return "not home"
         self._follow(link, row.term)
@@ -307,10 +315,11 @@
     def _watch_row(self, dialling):
         """Read the leader's row until the leader is connected, replaced or no longer writing.
 
-        A leader that continues to write is not replaced: a network partition, too, can make it
-        unreachable or cause connections to be refused. The row is read while the connection attempt
-        is still pending: the attempt takes 0.4 s to time out on an unresponsive leader, and an
-        instance that starts would find the next leader that much later.
+        In the last case this instance claims. A leader that continues to write is not replaced: a
+        network partition, too, can make it unreachable or cause connections to be refused. The row
+        is read while the connection attempt is still pending: the attempt takes 0.4 s to time out
+        on an unresponsive leader, and an instance that starts would find the next leader that much
+        later.
 
         Parameters
         ----------
@@ -390,8 +399,8 @@
             term=1,
         )
         if former is not None:
-            # The former leader's report on its workers is kept until the workers have responded to
-            # this leader.
+            # The former leader's data about its workers stays in the row until the workers have
+            # responded to this leader.
             row.term = former.term + 1
             row.handover = former.handover
             row.registry_version = former.registry_version
@@ -413,7 +422,7 @@
                 yield self._read_row()
             return current_row
         except PlatformError as exc:
-            # The claim may have been applied, or may still be: the row shows which.
+            # The claim may have been applied, or may be applied later: the row shows which.
             self.log.info("store did not answer the claim", error=str(exc))
             yield self._sleep(jitter(self.context.random_state, RETRY_S))
             yield self._read_row()
@@ -422,7 +431,7 @@
             version = self.row_version
         self.row, self.row_version = row, version
         self.is_leader = True
-        self._yielding = False
+        self._leader_yields = False
         self.context.links.leave_leader()
         self.context.meters.count("takeovers", why)
         self.log.info("claimed", why=why, token=version, term=row.term)
--- a/anvilflow/cell/_session.py
+++ b/anvilflow/cell/_session.py
@@ -6,20 +6,21 @@
 from ..decisions import LeaseClock, RoundTrip
 from ..exceptions import WorkerGoneError, WorkerRefusedError, WorkerUnreachableError
 
-#: Time for which a worker may delay its answer to a lease renewal, unless the leader is short of
-#: processor. It bounds the time between two renewals. Unit: seconds.
+#: Time for which a worker without new ends may delay its answer to a lease renewal (a long poll);
+#: longer while the leader is short of processor. It bounds the time between two renewals. Unit:
+#: seconds.
 RENEWAL_WAIT_S = 0.5
 
 #: Longest wait until reported ends are recorded before the next lease renewal is sent: during an
 #: outage of the store, leases still have to be renewed and new ends received. Unit: seconds.
 MAX_UNRECORDED_WAIT_S = 0.1
 
-#: Minimum timeouts of a start, one for each try. Sending the same start again is safe: a worker
-#: that already has the run reports it. Retries replace a lost start before the other members of a
-#: gang stop waiting for it. Workers answer in some 3 ms, and a leader's processor may stall for
-#: 0.1 s.
-#: The first timeout is short: where 6 of 100 commands have no answer, two of three lookups (short
-#: jobs) of ten tasks lose one, and each was delayed by a timeout of 0.3 s. Unit: seconds.
+#: Minimum timeouts of the call that starts a run, one for each try. Sending the same start again is
+#: safe: a worker that already has the run reports it. Retries replace a lost start before the other
+#: members of a gang stop waiting for it. Workers answer in some 3 ms, and a leader's processor may
+#: stall for 0.1 s. The first timeout is short: where 6 of 100 commands have no answer, two of three
+#: lookups (short jobs) of ten tasks have at least one start without an answer. A first timeout of
+#: 0.3 s delayed each of these jobs by 0.3 s. Unit: seconds.
 START_TIMEOUTS_S = (0.12, 0.3, 0.3, 0.5)
 
 #: Delay before a failed call to a worker is retried. The delay of stops doubles up to the maximum,
@@ -29,7 +30,11 @@
 
 
 class WorkerSession:
-    """Renews the leases of one worker, receives its ends at once, and sends it commands.
+    """Renews the leases of one worker, receives the ends of its runs, and sends it commands.
+
+    Each renewal waits at the worker until a run ends or the allowed delay has passed, so that ends
+    are received at once. A refusal as ``fenced`` means that the worker has received commands of a
+    newer leader.
 
     Parameters
     ----------
@@ -41,7 +46,8 @@
         Receives answers and failures: ``worker_reported``, ``worker_failed``, ``worker_gone``,
         ``fenced``, ``start_answered``, ``stop_answered``, ``pace_failed``; each lease before it is
         sent: ``lease_sent``; the round trip of each answer: ``call_answered``; calls without an
-        answer: ``call_unanswered``; and starts that are answered or late: ``release_start``.
+        answer: ``call_unanswered``; and starts that are answered or late, whose places in the send
+        window become free: ``release_start``.
 
         Provides the state that the session depends on: ``last_acknowledged_end(worker_id)`` is the
         number of the last durable end, ``has_unrecorded_ends(worker_id)`` whether there are later
@@ -49,7 +55,7 @@
         ``is_wanted(action)`` whether a run that is being started is still assigned,
         ``may_send_commands()`` whether starts and leases may be sent, ``may_retry()`` whether a
         start may be sent again, ``renewal_wait()`` how long the worker may delay its answer to a
-        renewal, ``limit_s()`` the timeout by the round trips of all workers.
+        renewal, ``limit_s()`` the timeout estimated from the round trips of all workers.
     """
 
     def __init__(self, *, clock, calls, lease_s, fleet):
@@ -68,7 +74,7 @@
         return self.calls.worker_id
 
     def close(self):
-        """Close the session; it makes no further calls."""
+        """Close the session, which then makes no further calls."""
         self.stopped = True
         self.resume_renewals(force=True)
 
@@ -118,7 +124,7 @@
     def _renew_leases(self):
         sent = self.clock.seconds()
         first = self.worker_clock is None
-        # A lease that may have been renewed keeps the worker's tasks from starting elsewhere. An
+        # While the worker may have received a renewed lease, its tasks must not start elsewhere. An
         # unreachable worker is therefore queried without a renewal: with a renewal in each try, its
         # tasks could not start elsewhere until the worker answered again.
         query_only = (
@@ -132,9 +138,9 @@
                     seen=self.fleet.last_acknowledged_end(self.worker_id),
                     until_s=until,
                     wait_s=wait_s,
-                    timeout=self._limit_s(self.calls.timeout),
+                    timeout=self._timeout_s(self.calls.timeout),
                 ),
-                held_s=wait_s,
+                allowed_delay_s=wait_s,
             )
         except (WorkerRefusedError, WorkerUnreachableError) as exc:
             self._failed(exc)
@@ -146,29 +152,29 @@
         self.fleet.worker_reported(self.worker_id, report, sent)
         return True
 
-    def _track_round_trip(self, call, *, held_s=0.0):
-        """Record the round trip of a call beyond the allowed delay `held_s`; return the call."""
-        due_at = self.clock.seconds() + held_s
+    def _track_round_trip(self, call, *, allowed_delay_s=0.0):
+        """Record a call's round trip, less the allowed delay `allowed_delay_s`; return the call."""
+        due_at = self.clock.seconds() + allowed_delay_s
         return call.addCallbacks(self._answered, self._unanswered, callbackArgs=(due_at,))
 
     def _answered(self, answer, due_at):
         round_trip_s = self.clock.seconds() - due_at
-        # An answer before the allowed delay has passed was triggered by an end. The time of the end
-        # is unknown, so the round trip is, too.
+        # An answer before the allowed delay has passed was triggered by the end of a run. The time
+        # of the end is unknown, and so is the round trip.
         if round_trip_s >= 0:
             self._round_trip.answered(round_trip_s)
             self.fleet.call_answered(round_trip_s)
         return answer
 
     def _unanswered(self, failure):
-        # A single worker without an answer may be unreachable, so its own round-trip estimate, and
-        # with it the time until the next try, is unchanged. Only the answers of all workers
-        # together show the state of the link.
+        # A single worker without an answer may be unreachable. Its own round-trip estimate, and so
+        # the time until the next try, therefore stays unchanged. Only the answers of all workers
+        # together show the state of the leader's link.
         if failure.check(WorkerUnreachableError):
             self.fleet.call_unanswered()
         return failure
 
-    def _limit_s(self, min_s):
+    def _timeout_s(self, min_s):
         """Return the timeout of a call: at least `min_s`, longer while round trips are longer."""
         return max(min_s, self._round_trip.limit_s(), self.fleet.limit_s())
 
@@ -193,7 +199,7 @@
 
     @inlineCallbacks
     def start(self, action):
-        """Start a run and report the outcome to the fleet."""
+        """Start a run, with retries, and report the outcome to the fleet."""
         if self.stopped or self.worker_clock is None:
             self.fleet.release_start(action)
             self.fleet.start_answered(action, "unreached")
@@ -219,16 +225,16 @@
         for number, min_s in enumerate(START_TIMEOUTS_S):
             if number > 0 and not self.fleet.may_retry():
                 break
-            outcome = yield self._start_once(action, self._limit_s(min_s))
+            outcome = yield self._start_once(action, self._timeout_s(min_s))
             if number > 0:
                 outcome = outcome_after_lost_answer(outcome)
             if outcome != "unknown" or self.stopped or self.fleet.is_unreachable(self.worker_id):
                 break
-            # The answer is late: it no longer shows the state of the link, and the start must not
-            # keep other starts waiting.
+            # The answer is late and no longer shows the state of the link. The start gives up its
+            # place in the send window, so that it does not delay other starts.
             self.fleet.release_start(action)
-            # A retry after the run's stop would start the task again: the stop may have been lost,
-            # and the worker then does not refuse the retry.
+            # A retry after the run was stopped could start the task again: the worker does not
+            # refuse the retry if the stop was lost.
             if not self.fleet.is_wanted(action):
                 break
         return outcome
@@ -246,7 +252,7 @@
         pause_s = RETRY_DELAY_S
         while not self.stopped:
             try:
-                timeout = self._limit_s(self.calls.timeout)
+                timeout = self._timeout_s(self.calls.timeout)
                 yield self._track_round_trip(self.calls.stop(action, timeout=timeout))
             except WorkerGoneError as exc:
                 self._failed(exc)
@@ -267,14 +273,14 @@
         """Change a run's pace; after a failure the pace is decided again with the next report."""
         try:
             yield self._track_round_trip(
-                self.calls.set_pace(action, timeout=self._limit_s(self.calls.timeout))
+                self.calls.set_pace(action, timeout=self._timeout_s(self.calls.timeout))
             )
         except (WorkerRefusedError, WorkerUnreachableError) as exc:
             self.fleet.pace_failed(action, exc)
 
 
 def _start_outcome(failure):
-    """Return the outcome of a failed start; a :class:`WorkerGoneError` stays a failure."""
+    """Return the outcome of a failed start; pass a :class:`WorkerGoneError` on as a failure."""
     if failure.check(WorkerGoneError):
         return failure
     if failure.check(WorkerRefusedError):
@@ -286,8 +292,8 @@
 def outcome_after_lost_answer(outcome):
     """Return the outcome of a retried start whose earlier try had no answer.
 
-    A refusal applies to this try only. The earlier try may have run and ended meanwhile, in which
-    case the worker refuses the retry as old, or it may still be executed. When such refusals were
-    taken as "not run", the task ran twice.
+    A refusal applies to this try only. The run of the earlier try may have begun and ended
+    meanwhile, in which case the worker refuses the retry as ``old``; or the worker may still carry
+    out the earlier try. When such refusals were taken as "not run", the task ran twice.
     """
     return outcome if outcome in ("started", "fenced") else "unknown"
--- a/anvilflow/cell/tests/test_recorder.py
+++ b/anvilflow/cell/tests/test_recorder.py
@@ -109,8 +109,8 @@
 def test_job_that_exceeds_a_row_is_refused_immediately(monkeypatch, safeguard):
     """A client submits a job of 1,400 steps, whose row would exceed 64 kB.
 
-    The store's refusal was taken for a write with unknown outcome: the client was told to retry,
-    and the gateway treated the store as unavailable until its next check.
+    The store's refusal was taken for a write with unknown outcome: the client was asked to
+    retry, and the gateway treated the store as unavailable until its next check.
     """
     if not safeguard:
         monkeypatch.setattr(_gateway, "MAX_ROW_BYTES", 10_000_000)
--- a/anvilflow/jobs/_placement.py
+++ b/anvilflow/jobs/_placement.py
@@ -1,4 +1,4 @@
-"""Placement of waiting tasks on workers, in the order of urgency."""
+"""Placement of waiting tasks on workers, the most urgent jobs first."""
 
 from ._actions import NoteWait, StartRun
 from ._advice import (
@@ -12,7 +12,8 @@
 from ._ranking import Ranking
 from ._reservations import Reservations
 
-#: Time for which tasks wait before the reason is logged, and between repeated logs. Unit: seconds.
+#: Time for which tasks wait before the reason is logged, and least time between two such logs.
+#: Unit: seconds.
 NOTE_WAIT_S = 1.5
 
 #: Minimum time between two full plans, which match every waiting step with every worker. The plans
@@ -22,15 +23,16 @@
 
 
 def plan_starts(scheduler, now, n_wanted=None):
-    """Return the starts and advice requests that are due, in the order of urgency.
+    """Return the starts and advice requests that are due, those of the most urgent jobs first.
 
-    A waiting step that could not be placed can only be placed on a worker that has gained free
-    capacity, or after a change of the step itself. What changes by time alone, such as the expiry
-    of a ticket or the end of a worker's back-off, is left to the next full plan.
+    A waiting step that could not be placed earlier can be placed only on a worker that has gained
+    free capacity (`scheduler.freed`) or after a change of its job. Changes by the passing of time
+    alone, such as the expiry of a ticket or the end of a worker's back-off, are left to the next
+    full plan.
 
-    After `n_wanted` starts, further tasks are left to a later plan. A start that is decided before
-    it can be sent occupies capacity that others could use, and can no longer go to a worker that
-    becomes free meanwhile.
+    Once `n_wanted` starts are planned, the remaining jobs are left to a later plan. A start that is
+    decided before it can be sent occupies capacity that other tasks could use, and can no longer go
+    to a worker that becomes free meanwhile.
     """
     drop_timed_out_requests(scheduler, now)
     if n_wanted is not None and n_wanted <= 0:
@@ -87,7 +89,8 @@
         if not waiting:
             continue
         if not scheduler.may_start(job, now):
-            # Requested now, so that the answer is there by the time all workers have responded.
+            # The job's starts are still delayed, for example until all workers have responded to a
+            # new leader. Advice that is requested now is there when the starts are due.
             actions += request_step_advice(scheduler, step, now)
             continue
         scheduler.reservations.release(step)
@@ -121,7 +124,10 @@
 
 
 def _tasks_to_copy(step):
-    """Return the tasks that need a second run and do not have one yet."""
+    """Return the tasks that need a second run beside their only one, which is stalled or slow.
+
+    Tasks that have ended or have their second run are removed from `step.copies`.
+    """
     step.copies = [
         task for task in step.copies if task.state is TaskState.RUNNING and len(task.runs) == 1
     ]
@@ -181,7 +187,7 @@
 
 
 def _note_wait(step, n_waiting, workers, now):
-    """Return a note on why tasks of a step are waiting, at most every :data:`NOTE_WAIT_S`."""
+    """Return a list with a note on why tasks wait, at most one per :data:`NOTE_WAIT_S`, or none."""
     if now - max(step.ready_at, step.wait_noted_at) < NOTE_WAIT_S:
         return []
     step.wait_noted_at = now
@@ -199,7 +205,8 @@
 def _start_gang(scheduler, step, waiting, now):
     """Return the starts of all tasks of a gang, or of none if they do not all fit.
 
-    A part of a gang cannot work: its members wait for the others and then end as ``alone``.
+    A gang of which only a part is started cannot work: the members that were started wait for the
+    others and then end as ``alone``.
     """
     if len(waiting) < len(step.tasks):
         return []
@@ -235,7 +242,7 @@
 
 
 def _fit_gang(step, waiting, workers):
-    """Return a worker for each task of the gang, or None when the tasks do not all fit."""
+    """Return a worker for each task of the gang, or None if the tasks do not all fit."""
     spec = step.spec
     places = []
     for worker in workers:
@@ -249,7 +256,7 @@
 
 
 def _n_fitting(worker, spec):
-    """Return the number of tasks of a step that fit on a worker together."""
+    """Return the number of tasks of a step that fit on a worker at the same time."""
     limits = [worker.memory_free // spec.memory_mb if spec.memory_mb else spec.n_tasks]
     if spec.cpu_milli and not spec.fills:
         limits.append(worker.cpu_free // spec.cpu_milli)
--- a/anvilflow/jobs/_run_tracker.py
+++ b/anvilflow/jobs/_run_tracker.py
@@ -1,4 +1,4 @@
-"""Tracking of how runs begin and end, from the reports and replies of workers."""
+"""Tracking of the begin and end of runs from the reports and replies of workers."""
 
 from ._actions import StopRun
 from ._advice import has_ticket
@@ -8,9 +8,9 @@
 from ._stalled_runs import note_duration
 from ._worker import OrphanRun, PendingEnd
 
-#: Run numbers per task that each leader has before the next leader's numbers begin. A new leader
-#: has no count of the runs that its predecessor started, and a worker refuses a run number that is
-#: not higher than the last one.
+#: Size of the range of run numbers that each leader may use for a task; the next leader's range
+#: begins after it. A new leader has no count of the runs that its predecessor started, and a worker
+#: refuses a run number that is not higher than the task's last one.
 RUNS_PER_TERM = 1000
 
 #: Interval between attempts to start tasks of a job whose payload is missing from the store. Unit:
@@ -27,8 +27,8 @@
 #: OverflowError.
 MAX_DOUBLINGS = 4
 
-#: Consecutive failures from which a worker is in back-off. Two may be the fault of a single job,
-#: and the first back-off is short.
+#: Number of consecutive failures at which a worker's back-off begins. Two failures may still be the
+#: fault of a single job; this does little harm, because the first back-off is short.
 FAILURES_BEFORE_BACKOFF = 2
 
 #: Maximum number of ends in one report of a worker, as the worker contract states.
@@ -43,12 +43,15 @@
 class RunTracker(CrashTracker):
     """Tracks the runs on each worker from its reports and its replies to commands.
 
-    Base of :class:`Scheduler`, which adds the jobs: runs are started for the tasks of jobs, and
-    their ends advance the jobs.
+    Base of :class:`Scheduler`, which adds the jobs: runs are started for the tasks of jobs, and the
+    ends of runs advance the jobs.
     """
 
     def take_first_start_delays(self):
-        """Return the waiting times of jobs that have begun since the last call. Unit: seconds."""
+        """Return the times from acceptance to first start of jobs begun since the last call.
+
+        Unit: seconds.
+        """
         taken, self._first_start_delays = self._first_start_delays, []
         return taken
 
@@ -57,8 +60,8 @@
     def report(self, worker_id, report, *, requested_at, now):
         """Process a worker's reply to a lease renewal; return the resulting actions.
 
-        Runs that were started or stopped after `requested_at`, when the renewal was sent, may be
-        missing from the report for that reason alone.
+        `requested_at` is the time at which the renewal was sent. A run that was started or stopped
+        later may be missing from the report for that reason alone, and is kept.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
@@ -136,7 +139,7 @@
         ]
 
     def _may_appear_in_feed(self, job_id):
-        """Whether a job is unknown and may still appear in the next read of the feed.
+        """Whether a job is unknown and may still appear in the next read of the jobs table's feed.
 
         Ended jobs are excluded, so that their runs are stopped at once: otherwise a leader that
         takes over after a cancellation would let them continue, and so would each later leader.
@@ -168,7 +171,7 @@
         return actions
 
     def _adopt_orphan_runs(self, job, now):
-        """Adopt the runs that a former leader started of a job that has only now become known.
+        """Adopt the runs, started by a former leader, of a job that has only now become known.
 
         Otherwise the job's tasks would be started a second time while the first runs continue.
         """
@@ -232,8 +235,9 @@
             task.runs.pop(worker.info.worker_id, None)
             self.remove_placed(run, now)
         actions = self._apply_end(worker, step, task, end, run, now)
-        # Also applies to an ended job until its end is durable: a leader that takes over before
-        # then would find neither the job's end nor this one, and would run the task again.
+        # The end is acknowledged to the worker only after the job's changes are recorded. This also
+        # applies to a job that has ended: a leader that takes over before the job's end is recorded
+        # would find neither that end nor this one, and would run the task again.
         if step.job.change > step.job.recorded_change:
             worker.ack_queue.append(PendingEnd(end=end, change=step.job.change, now=now))
         return actions
@@ -302,7 +306,7 @@
         worker.retry_at = 0.0
 
     def _note_worker_failure(self, worker, now):
-        """Back off a worker that fails tasks which others could do, longer after each failure."""
+        """Count a failure of a worker; pause its starts for longer after each consecutive one."""
         worker.n_consecutive_failures += 1
         if worker.n_consecutive_failures >= FAILURES_BEFORE_BACKOFF:
             n_doublings = min(
@@ -316,12 +320,15 @@
     def start_answered(self, worker_id, task, run_id, outcome, now):
         """Process the outcome of a start.
 
-        ``started``: the worker has begun the run. ``unknown``: no reply. All others mean that this
-        start was not carried out. ``unreached``: not sent, or connection refused. ``no payload``:
-        the store has no payload of the job. By the worker: ``old``, it has had this run number or a
-        higher one, or still has a run of the task; ``late``, the lease had expired on arrival;
-        ``room``, not enough free capacity; ``ticket``, the ticket was not accepted; ``unhealthy``,
-        a reply of HTTP status 400, 429 or 503.
+        ``started``: the worker has begun the run. ``unknown``: no reply.
+
+        All other outcomes mean that this start was not carried out. ``unreached``: not sent, or
+        connection refused. ``no payload``: the store has no payload of the job.
+
+        The rest are refusals by the worker. ``old``: the worker has had this run number or a higher
+        one, or still has a run of the task. ``late``: the lease had expired on arrival. ``room``:
+        not enough free capacity. ``ticket``: the ticket was not accepted. ``unhealthy``: a reply of
+        HTTP status 400, 429 or 503.
         """
         run = self._find_run(worker_id, task, run_id)
         if run is None:
@@ -332,8 +339,8 @@
                 run.sent_at = now
             return []
         if outcome == "unknown":
-            # The worker may still carry out the start seconds later. A stop bars the run, whose
-            # capacity stays reserved until the worker confirms the stop.
+            # The worker may still carry out the start seconds later. A stop that the worker accepts
+            # prevents that. The run's capacity stays reserved until the worker confirms the stop.
             if run.state != "starting":
                 return []
             actions = self._stop(run, now, "start unanswered")
@@ -353,8 +360,8 @@
     def _stop_rest_of_gang(self, task, run_id, now):
         """Stop the other members of a gang of which one member was not started.
 
-        Otherwise they would occupy their workers, waiting for that member, until they end alone,
-        and only then would the gang be started again.
+        Otherwise the others would occupy their workers, waiting for that member, until they end as
+        ``alone``. Only then would the gang be started again.
         """
         step, _ = self.find_task(task)
         if step is None or not step.spec.gang:
@@ -412,7 +419,7 @@
 def _note_progress(run, item, clock_s, now):
     if run.reported_clock is None:
         run.percent_clock = clock_s
-        # The first progress that a resumed run reports was made by the previous run.
+        # The first progress that a resumed run reports counts as made by the previous run.
         run.first_percent = item.percent if run.resumes else run.first_percent
     elif item.percent != run.percent:
         run.percent_clock = clock_s
